--- a/almondlinkd/entry_ends.cc
+++ b/almondlinkd/entry_ends.cc
@@ -75,9 +75,9 @@
   const ClassifiedCall& call = entry.call;
   if (call.parent.has_value()) {
     control::WorkTable& work = this->shared.work;
-    work.NoteAttempts(*call.parent, entry.attempts + entry.attempts_below);
+    work.AddAttempts(*call.parent, entry.attempts + entry.attempts_below);
     if (kind != ErrorKind::kNone) {
-      work.NoteFailure(*call.parent, entry.hash);
+      work.RecordFailure(*call.parent, entry.hash);
     }
   }
   this->accounts.NoteFinished(entry, kind, status);
--- a/almondlinkd/entry_sends.cc
+++ b/almondlinkd/entry_sends.cc
@@ -35,7 +35,7 @@
   const std::string pinned = this->PinnedNode(entry);
   if (!pinned.empty()) {
     control::RouteChoice choice;
-    choice.none.kind = ErrorKind::kDuplicate;
+    choice.no_route.kind = ErrorKind::kDuplicate;
     for (std::size_t i = 0; i < views.routes.size(); ++i) {
       if (views.routes[i].node == pinned) {
         choice.index = i;
@@ -59,10 +59,10 @@
   ServiceViews& views = this->views.Of(entry->call.operation->service.Value());
   const control::RouteChoice choice = this->Choose(*entry, views);
   if (!choice.index.has_value()) {
-    this->NoteDownstreamOfParent(*entry, choice.none.level);
-    this->FinishError(entry, choice.none.kind,
-                      choice.none.level > 0
-                          ? control::RetryAfter(choice.none.level)
+    this->NoteDownstreamOfParent(*entry, choice.no_route.level);
+    this->FinishError(entry, choice.no_route.kind,
+                      choice.no_route.level > 0
+                          ? control::RetryAfter(choice.no_route.level)
                           : Millis{-1});
     return;
   }
@@ -157,7 +157,7 @@
   if (this->downstream.size() > kMaxDownstream) {
     this->downstream.clear();
   }
-  control::NoteDownstreamLevel(
+  control::RecordDownstreamLevel(
       MonotonicNow(), answer.downstream,
       this->downstream[entry.call.operation->name.Value()]);
 }
@@ -165,7 +165,7 @@
 void EntryLoop::Impl::NoteDownstreamOfParent(const EntryCall& entry,
                                              std::uint32_t level) {
   if (entry.call.parent.has_value() && level > 0) {
-    this->shared.work.NoteDownstream(*entry.call.parent, level);
+    this->shared.work.RecordDownstreamLevel(*entry.call.parent, level);
   }
 }
 
--- a/almondlinkd/target_call.cc
+++ b/almondlinkd/target_call.cc
@@ -66,11 +66,11 @@
 void EndWork(const TargetCall& target_call,
              control::WorkTable& work,
              wire::Answer& answer) {
-  const control::WorkTable::Ended ended = work.End(target_call.span);
-  answer.grant_back = ended.grant_back;
+  const control::WorkTable::FinishedWork ended = work.End(target_call.span);
+  answer.grant_back = ended.unspent_grant;
   answer.attempts = 1 + ended.attempts;
   const bool is_failed = answer.error != 0 || answer.status >= kServerErrors;
-  answer.downstream = is_failed ? ended.downstream : 0;
+  answer.downstream = is_failed ? ended.downstream_level : 0;
   answer.is_call_failed = is_failed && ended.is_call_failed;
 }
 
--- a/almondlinkd/target_rules.cc
+++ b/almondlinkd/target_rules.cc
@@ -64,7 +64,7 @@
   report.waiting = static_cast<std::uint32_t>(admission.queue.size());
   report.threshold = admission.pressure.threshold;
   report.utilization = control::Utilization(rules, now, admission);
-  report.baseline_ms = admission.limit.baseline;
+  report.baseline_ms = admission.limit.baseline_latency;
   report.service_time_ms = admission.service_time.mean;
   return report;
 }
--- a/almondlinkd/target_side.cc
+++ b/almondlinkd/target_side.cc
@@ -164,8 +164,8 @@
     request.rank = control::RankOf(request.criticality, target_call->root);
     request.depth = target_call->call.depth;
     request.deadline = target_call->deadline;
-    this->Apply(control::Offer(this->Rules(), MonotonicNow(), request,
-                               this->admission));
+    this->Apply(control::SubmitRequest(this->Rules(), MonotonicNow(), request,
+                                       this->admission));
   }
 
   void Apply(const control::AdmissionStep& step) {
@@ -287,7 +287,7 @@
 
   void ReleasePlace() {
     this->Apply(
-        control::Release(this->Rules(), MonotonicNow(), this->admission));
+        control::ReleaseSlot(this->Rules(), MonotonicNow(), this->admission));
   }
 
   void OnTargetAnswer(control::Ticket ticket, server::TargetAnswer result) {
@@ -326,8 +326,8 @@
     if (kind == ErrorKind::kTargetBadAnswer) {
       LogEvent(kEventTargetProtocol);
     }
-    this->Apply(control::Complete(this->Rules(), MonotonicNow(), took,
-                                  OutcomeOf(kind), this->admission));
+    this->Apply(control::CompleteRequest(this->Rules(), MonotonicNow(), took,
+                                         OutcomeOf(kind), this->admission));
   }
 
   // ---- ends ----
@@ -340,7 +340,7 @@
     this->tickets.erase({target_call->link, target_call->call.id});
     target_call->is_abandoned = true;
     if (!target_call->is_dispatched) {
-      control::Withdraw(ticket, this->admission);
+      control::CancelWaiting(ticket, this->admission);
       const std::string key = target_call->call.key;
       this->calls.erase(ticket);
       if (!key.empty()) {
@@ -407,8 +407,8 @@
           if (error || self == nullptr || self->is_stopped) {
             return;
           }
-          self->Apply(
-              control::Tick(self->Rules(), MonotonicNow(), self->admission));
+          self->Apply(control::RefuseExpired(self->Rules(), MonotonicNow(),
+                                             self->admission));
           self->ExpireWaiting();
           self->keys->Forget();
           self->ends.Tick(MonotonicNow());
--- a/almondlinkd/target_views.cc
+++ b/almondlinkd/target_views.cc
@@ -112,12 +112,12 @@
       kind != ErrorKind::kPeerLost && kind != ErrorKind::kPeerUnreachable;
   if (is_from_node) {
     view.level = answer.pressure;
-    view.level_time = now;
+    view.level_received_at = now;
     view.utilization = answer.utilization;
     view.is_draining = answer.is_draining;
   }
   if (kind == ErrorKind::kNone && answer.status < kServerErrors) {
-    control::NoteLatency(LatencyMs{PreciseNow().count - sent.count}, view);
+    control::RecordLatency(LatencyMs{PreciseNow().count - sent.count}, view);
   }
 }
 
--- a/libs/control/include/almondlink/control/admission.h
+++ b/libs/control/include/almondlink/control/admission.h
@@ -88,33 +88,33 @@
 
 /// Offers a request. The step holds this ticket, and possibly others, in
 /// `dispatch` or `refuse`; a ticket in neither waits.
-AdmissionStep Offer(const AdmissionRules& rules,
-                    Millis now,
-                    const AdmissionRequest& request,
-                    Admission& admission);
+AdmissionStep SubmitRequest(const AdmissionRules& rules,
+                            Millis now,
+                            const AdmissionRequest& request,
+                            Admission& admission);
 
 /// Ends a dispatched request. Precondition: it was dispatched.
-AdmissionStep Complete(const AdmissionRules& rules,
-                       Millis now,
-                       LatencyMs latency,
-                       Outcome outcome,
-                       Admission& admission);
+AdmissionStep CompleteRequest(const AdmissionRules& rules,
+                              Millis now,
+                              LatencyMs latency,
+                              Outcome outcome,
+                              Admission& admission);
 
 /// Gives the place of a dispatched request back that never reached the target;
 /// nothing is learned from it.
-AdmissionStep Release(const AdmissionRules& rules,
-                      Millis now,
-                      Admission& admission);
+AdmissionStep ReleaseSlot(const AdmissionRules& rules,
+                          Millis now,
+                          Admission& admission);
 
 /// Takes a waiting request out because its caller left. False if it does not
 /// wait.
-bool Withdraw(Ticket ticket, Admission& admission);
+bool CancelWaiting(Ticket ticket, Admission& admission);
 
 /// Refuses who waited too long; call every few milliseconds while requests
 /// wait.
-AdmissionStep Tick(const AdmissionRules& rules,
-                   Millis now,
-                   Admission& admission);
+AdmissionStep RefuseExpired(const AdmissionRules& rules,
+                            Millis now,
+                            Admission& admission);
 
 /// Share of the limit in use, in thousandths.
 std::uint32_t Utilization(const AdmissionRules& rules,
--- a/libs/control/include/almondlink/control/chain_admission.h
+++ b/libs/control/include/almondlink/control/chain_admission.h
@@ -42,20 +42,20 @@
 struct RootRate {
   std::uint32_t route = 0;
   double offered_per_s = 0;
-  double let_in_per_s = 0;
+  double admitted_per_s = 0;
   /// Calls of a chain as the node has counted them; empty if it has not yet.
   std::vector<ServiceCalls> calls;
 };
 
 /// Whether calls per root differ by more than a tenth from those that were
 /// told.
-bool HaveChainsMoved(const std::vector<RootRate>& told,
-                     const std::vector<RootRate>& now);
+bool HaveChainsChanged(const std::vector<RootRate>& announced,
+                       const std::vector<RootRate>& current);
 
 /// The same on all nodes.
-struct RootSum {
+struct RootTotals {
   double offered_per_s = 0;
-  double let_in_per_s = 0;
+  double admitted_per_s = 0;
   /// Roots let in by the nodes that have counted their chains, and the calls of
   /// these by service.
   double counted_per_s = 0;
@@ -63,13 +63,15 @@
 };
 
 /// Adds what one node told.
-void AddRate(const RootRate& rate, std::map<std::uint32_t, RootSum>& sums);
+void AddRootRate(const RootRate& rate,
+                 std::map<std::uint32_t, RootTotals>& sums);
 
 /// Calls at a service for each root; none if no node has counted a chain.
-std::optional<double> CountedPerRoot(const RootSum& sum, std::uint32_t service);
+std::optional<double> CountedCallsPerRoot(const RootTotals& sum,
+                                          std::uint32_t service);
 
 /// One target of a service.
-struct TargetRoom {
+struct TargetCapacity {
   std::uint32_t slots = 0;
   std::uint32_t waiting = 0;
   /// Mean time of a call there; 0 if unknown.
@@ -77,13 +79,13 @@
   std::vector<RouteDemand> demand;
   /// Part of its answers that are failures of its own: where they stand out,
   /// that part of its slots makes nothing whole.
-  double erring = 0;
+  double error_rate = 0;
 };
 
 /// What the targets of one service told.
-struct ServiceRoom {
+struct ServiceCapacity {
   std::string service;
-  std::vector<TargetRoom> targets;
+  std::vector<TargetCapacity> targets;
   /// Its number in ServiceCalls; 0 if its calls are not counted.
   std::uint32_t key = 0;
 };
@@ -100,23 +102,23 @@
   /// Part of the room that all routes get alike, whatever their priority: no
   /// kind of request is shut out, and the most valued one still gets four
   /// fifths and its own part of the rest.
-  double assured_room = 0.2;
+  double assured_fraction = 0.2;
   /// No route's share falls below this part of the share of all root requests
   /// that are let in. Operators call a kind shut out that is served less than a
   /// quarter as often as all, counted by requests; a request that is refused
   /// comes back about once, so this part of the tries is just more than that.
   /// Each more costs the most valued kind: with two of three targets gone it is
   /// served 0.86, 0.77 and 0.61 for 0.1, 0.15 and 0.2 (test/replay).
-  double least_part = 0.15;
+  double min_relative_share = 0.15;
   /// Whether that guard also keeps a route's slots above a less urgent one's.
-  bool has_no_fewer = true;
+  bool has_ordered_floors = true;
   /// How far routes of one priority share the room by what a request costs: 0
   /// gives each the same part of what it wants, 1 the same slots. With a search
   /// of four times the cost of a lookup, 1 serves 0.96 to 0.97 of all instead
   /// of 0.95, and the search 0.79 instead of 0.81.
-  double by_cost = 1;
+  double cost_exponent = 1;
   /// Part of the way to the new share that one step goes.
-  double step = 0.5;
+  double share_step = 0.5;
 };
 
 /// Share of one route's root requests that is let in.
@@ -125,35 +127,35 @@
   double share = 1;
   /// Root requests on this node.
   RateMeter offered;
-  RateMeter let_in;
+  RateMeter admitted;
   /// The service that binds the share; empty if none does.
-  std::string bound_by;
+  std::string limiting_service;
 };
 
 /// What the rates at a service say of the calls of one route.
-struct CallsSeen {
+struct ObservedCalls {
   /// Calls for each root let in, both averaged over the same seconds.
   double per_root = 0;
   /// Part of a chain's counted calls that roots come to, on average.
-  double surviving = 1;
+  double completed_fraction = 1;
 };
 
 /// State of one node's admission. Plain data; one thread at a time.
 struct ChainAdmission {
   std::map<std::uint32_t, RouteShare> routes;
-  std::map<std::pair<std::string, std::uint32_t>, CallsSeen> calls_seen;
+  std::map<std::pair<std::string, std::uint32_t>, ObservedCalls> observed_calls;
   /// Chains of this node's own roots.
   ChainCounts chains;
   Millis updated;
   /// Length of the last window of rates in milliseconds.
-  double span_ms = 0;
+  double window_ms = 0;
 };
 
 /// Notes a root request and decides it; `draw` is uniform in 0 to 1.
-bool LetIn(std::uint32_t route,
-           std::uint32_t priority,
-           double draw,
-           ChainAdmission& admission);
+bool TryAdmitRoot(std::uint32_t route,
+                  std::uint32_t priority,
+                  double draw,
+                  ChainAdmission& admission);
 
 /// The share of `route` in force, 1 if nothing binds it.
 double ShareOf(std::uint32_t route, const ChainAdmission& admission);
@@ -163,12 +165,12 @@
 void UpdateRootRates(Millis now, ChainAdmission& admission);
 
 /// Rates of this node, to be told to the others.
-std::vector<RootRate> OwnRates(const ChainAdmission& admission);
+std::vector<RootRate> LocalRootRates(const ChainAdmission& admission);
 
 /// Works the shares out anew. `roots`: sums over all nodes.
 void UpdateShares(const ChainRules& rules,
-                  const std::vector<ServiceRoom>& services,
-                  const std::map<std::uint32_t, RootSum>& roots,
+                  const std::vector<ServiceCapacity>& services,
+                  const std::map<std::uint32_t, RootTotals>& roots,
                   ChainAdmission& admission);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/chain_counts.h
+++ b/libs/control/include/almondlink/control/chain_counts.h
@@ -28,17 +28,17 @@
 /// is made for every answer.
 struct CallCounts {
   /// Services of one chain; no root of 40 services calls more of them.
-  static constexpr std::size_t kMost = 16;
-  std::array<ServiceCount, kMost> entries{};
+  static constexpr std::size_t kMaxServices = 16;
+  std::array<ServiceCount, kMaxServices> entries{};
   std::size_t size = 0;
   /// More services than there is room for were left out.
-  bool is_cut = false;
+  bool is_truncated = false;
 };
 
 /// Adds runs at a service.
 void AddRuns(const ServiceCount& runs, CallCounts& counts);
 /// Adds all of `more`.
-void AddCounts(const CallCounts& more, CallCounts& counts);
+void AddCounts(const CallCounts& added, CallCounts& counts);
 
 /// Runs at that service.
 std::uint32_t RunsAt(std::uint32_t service, const CallCounts& counts);
@@ -62,9 +62,9 @@
 /// Notes a root that was answered, with what ran for it. The first few count
 /// alike, later the last dozen or so: a release of software, or targets that
 /// refuse a part and end chains early, show within a second or two.
-void NoteChain(std::uint32_t route,
-               const CallCounts& counts,
-               ChainCounts& chains);
+void RecordChain(std::uint32_t route,
+                 const CallCounts& counts,
+                 ChainCounts& chains);
 
 }  // namespace almondlink::control
 
--- a/libs/control/include/almondlink/control/concurrency_limit.h
+++ b/libs/control/include/almondlink/control/concurrency_limit.h
@@ -28,49 +28,49 @@
   /// Fewest samples to judge by.
   std::uint32_t min_samples = 10;
   /// Latency over baseline that starts a trial.
-  double tolerance = 1.6;
+  double latency_tolerance = 1.6;
   /// Part of the limit kept in a trial.
-  double cut = 0.75;
+  double trial_factor = 0.75;
   /// Throughput in a trial, against before, that proves the cut harmless, and
   /// the latency that must come with it: both, so that one noisy window does
   /// not take room away from a target that is only slow.
-  double harmless = 0.9;
-  double relieved = 0.88;
+  double min_throughput_ratio = 0.9;
+  double max_latency_ratio = 0.88;
   /// Fewest samples of the windows that a trial is judged by.
-  std::uint32_t trial_samples = 40;
+  std::uint32_t min_trial_samples = 40;
   /// Slow windows in a row before a trial: the figures before it are then those
   /// of a steady state.
-  std::uint32_t slow_windows = 2;
+  std::uint32_t min_slow_windows = 2;
   /// First wait between trials that did not help; doubles up to the last.
-  Millis first_wait{1000};
-  Millis last_wait{8000};
+  Millis initial_trial_backoff{1000};
+  Millis max_trial_backoff{8000};
   /// Share of failed outcomes in a window that lowers the limit.
-  double failure_share = 0.2;
+  double max_failure_share = 0.2;
   /// Time over which a fresh target's limit grows to its slots.
   Millis slow_start{3000};
 };
 
-enum class LimitPhase { kSteady, kSettle, kTrial };
+enum class LimitPhase { kSteady, kSettling, kTrial };
 
 /// State of one limit. Plain data; one thread at a time.
 struct ConcurrencyLimit {
   double limit = 1;
   /// Mean latency without queueing in the target, 0 before it is known.
-  double baseline = 0;
+  double baseline_latency = 0;
   LimitPhase phase = LimitPhase::kSteady;
   Millis started;
   Millis window_start;
   std::uint32_t samples = 0;
   std::uint32_t failures = 0;
   double latency_sum = 0;
-  std::uint32_t most_in_flight = 0;
+  std::uint32_t max_in_flight = 0;
   std::uint32_t slow_windows = 0;
   /// Throughput (per ms), latency and limit before the trial.
   double rate_before = 0;
   double latency_before = 0;
   double limit_before = 0;
   Millis next_trial;
-  Millis trial_wait;
+  Millis trial_backoff;
   /// Completions per ms in the last whole window.
   double last_rate = 0;
 };
@@ -83,12 +83,12 @@
 
 /// Takes one outcome. `in_flight` counts the requests at the target before it
 /// ended.
-void NoteOutcome(const LimitRules& rules,
-                 Millis now,
-                 LatencyMs latency,
-                 Outcome outcome,
-                 std::uint32_t in_flight,
-                 ConcurrencyLimit& limit);
+void RecordOutcome(const LimitRules& rules,
+                   Millis now,
+                   LatencyMs latency,
+                   Outcome outcome,
+                   std::uint32_t in_flight,
+                   ConcurrencyLimit& limit);
 
 /// Requests that may be at the target now, at least 1.
 std::uint32_t CurrentLimit(const LimitRules& rules,
--- a/libs/control/include/almondlink/control/demand_meter.h
+++ b/libs/control/include/almondlink/control/demand_meter.h
@@ -34,38 +34,38 @@
 };
 
 /// Closes a window of `span_ms`; `memory_ms` is the time constant.
-void UpdateRate(double span_ms, double memory_ms, RateMeter& meter);
+void UpdateRate(double span_ms, double time_constant_ms, RateMeter& meter);
 
 /// Time constant of the rates whose ratio is the number of calls for each root
 /// request. Both sides use it, so that a change of load moves both alike.
-constexpr double kStructureMemoryMs = 3000;
+constexpr double kCallRatioTimeConstantMs = 3000;
 
 /// State of one target's meter. Plain data; one thread at a time.
 struct DemandMeter {
   struct PerRoute {
     RateMeter arrivals;
     double work_ms = 0;
-    Millis sampled;
+    Millis sampled_at;
   };
   std::map<std::uint32_t, PerRoute> routes;
   Millis window_start;
 };
 
 /// Notes one request that arrived for `route`, whatever becomes of it.
-void NoteDemand(std::uint32_t route, DemandMeter& meter);
+void RecordDemand(std::uint32_t route, DemandMeter& meter);
 
 /// Takes one back that the target refused without running: it needed no slot,
 /// and counted as demand it would have roots refused for room that is there.
-void NoteTurnedAway(std::uint32_t route, DemandMeter& meter);
+void RemoveRefusedDemand(std::uint32_t route, DemandMeter& meter);
 
 /// Notes how long the target worked for one request of `route`.
-void NoteWork(std::uint32_t route,
-              Millis now,
-              LatencyMs work,
-              DemandMeter& meter);
+void RecordWork(std::uint32_t route,
+                Millis now,
+                LatencyMs work,
+                DemandMeter& meter);
 
 /// Forgets how long calls take, because another start of the target has come.
-void ForgetWork(DemandMeter& meter);
+void ResetWork(DemandMeter& meter);
 
 /// Closes the window that began at the last call. Routes without arrivals are
 /// forgotten after a while.
--- a/libs/control/include/almondlink/control/downstream.h
+++ b/libs/control/include/almondlink/control/downstream.h
@@ -19,13 +19,13 @@
 /// Level of one operation at one entry node. Plain data; one thread at a time.
 struct DownstreamLevel {
   std::uint32_t level = 0;
-  Millis told;
+  Millis received_at;
 };
 
 /// Takes the level of an answer; 0 is an answer that met none.
-void NoteDownstreamLevel(Millis now,
-                         std::uint32_t level,
-                         DownstreamLevel& downstream);
+void RecordDownstreamLevel(Millis now,
+                           std::uint32_t level,
+                           DownstreamLevel& downstream);
 
 /// Whether a request of that rank should be refused at entry.
 bool IsShedDownstream(Millis now,
--- a/libs/control/include/almondlink/control/placement.h
+++ b/libs/control/include/almondlink/control/placement.h
@@ -22,7 +22,7 @@
 namespace almondlink::control {
 
 /// What an entry node knows of one target.
-struct PlaceView {
+struct PlacementTarget {
   bool is_own_zone = false;
   /// Whether the target takes new work.
   bool is_open = false;
@@ -30,17 +30,17 @@
   bool is_tried = false;
   std::uint32_t slots = 1;
   /// Running and waiting there, as told, and sent by this node since.
-  std::uint32_t told_load = 0;
+  std::uint32_t reported_load = 0;
   std::uint32_t sent_since = 0;
   /// Mean work of a request there; 0 if unknown.
   double work_ms = 0;
   TargetHealth health;
   /// Part of its answers that are failures of its own, see error_share.h.
-  double erring = 0;
+  double error_rate = 0;
 };
 
 /// Constants of the choice.
-struct PlaceRules {
+struct PlacementRules {
   /// Another zone is used where the own one would take so many times as long,
   /// and so much longer: bytes between zones are paid for.
   double zone_factor = 1.3;
@@ -48,9 +48,9 @@
   /// The own zone is used in any case while a request takes no longer there: an
   /// answer well within its latency target is worth no more for being faster.
   /// It takes a third off the bytes between zones.
-  double patience_ms = 0;
+  double acceptable_ms = 0;
   /// By the expected time of a request; otherwise by the load alone.
-  bool is_by_time = true;
+  bool is_time_based = true;
   /// A target that fails each request counts as so many times slower. Where two
   /// of three targets lose two fifths of their answers, a third of the failures
   /// is left.
@@ -59,11 +59,11 @@
   /// part by which its errors stand out from the others' (error_share.h): a
   /// failure costs the whole request. Setting such targets aside was as good
   /// for callers, but leaves nothing where several err in part.
-  double error_ms = 0;
+  double error_penalty_ms = 0;
 };
 
 /// Draws of one choice, each uniform in [0, 1).
-struct PlaceDraws {
+struct PlacementDraws {
   double near_first = 0;
   double near_second = 0;
   double far_first = 0;
@@ -72,13 +72,14 @@
 
 /// Expected time of one more request there, in milliseconds. `typical_ms`: the
 /// mean work at the service, for targets that are not known yet.
-double PlaceCost(const PlaceView& view, double typical_ms);
+double ExpectedTimeMs(const PlacementTarget& target, double typical_ms);
 
 /// Index of the target to send to; none if no target is open. Pure.
-std::optional<std::size_t> ChoosePlace(const PlaceRules& rules,
-                                       const std::vector<PlaceView>& views,
-                                       Millis now,
-                                       const PlaceDraws& draws);
+std::optional<std::size_t> ChoosePlacementTarget(
+    const PlacementRules& rules,
+    const std::vector<PlacementTarget>& targets,
+    Millis now,
+    const PlacementDraws& draws);
 
 /// Longest that a request waits for a target to make itself known, when its
 /// service has none. Targets report themselves every second or two, so right
@@ -88,11 +89,11 @@
 /// `without`: since when the service has none. A root request waits no longer
 /// than its value lasts; a call below it as long as it has time, since the work
 /// above it would be lost.
-Millis WaitForTarget(Millis expected,
-                     Millis without,
-                     bool is_root,
-                     Millis latency_target,
-                     Millis left);
+Millis MaxWaitForTarget(Millis report_time,
+                        Millis elapsed,
+                        bool is_root,
+                        Millis latency_target,
+                        Millis time_left);
 
 }  // namespace almondlink::control
 
--- a/libs/control/include/almondlink/control/pressure.h
+++ b/libs/control/include/almondlink/control/pressure.h
@@ -24,7 +24,7 @@
 namespace almondlink::control {
 
 /// How long an entry node believes a level it was told.
-constexpr Millis kLevelLife{1000};
+constexpr Millis kLevelLifetime{1000};
 constexpr Millis kPressureWindow{100};
 
 /// State of one target's pressure. Plain data; one thread at a time.
@@ -38,26 +38,26 @@
   std::uint32_t expired = 0;
   /// The most valued class of which a request waited too long or was evicted in
   /// the window; kCriticalityCount if none was.
-  std::uint32_t first_late = kCriticalityCount;
+  std::uint32_t highest_late_class = kCriticalityCount;
   std::array<std::uint32_t, kRankCount> arrivals{};
 };
 
 /// Notes an arrival, whether or not it is admitted.
-void NoteArrival(ShedRank rank, Pressure& pressure);
+void RecordArrival(ShedRank rank, Pressure& pressure);
 /// Notes that a request of that class left the queue for the target after
 /// `wait`.
-void NoteDequeue(Criticality criticality,
-                 Millis wait,
-                 Millis queue_target,
-                 Pressure& pressure);
+void RecordDequeue(Criticality criticality,
+                   Millis wait,
+                   Millis queue_target,
+                   Pressure& pressure);
 /// Notes a request of that class that was evicted or waited too long.
-void NoteExpired(Criticality criticality, Pressure& pressure);
+void RecordExpired(Criticality criticality, Pressure& pressure);
 /// Notes that the target completed a request.
-void NoteCompletion(Pressure& pressure);
+void RecordCompletion(Pressure& pressure);
 
 /// Sheds every class less valued than `refused` until the next window: a class
 /// is not refused for load while a lesser one is let in.
-void ShedBelow(Criticality refused, Pressure& pressure);
+void ShedLessCritical(Criticality refused, Pressure& pressure);
 
 /// Sets the threshold anew if the window is over; true if it changed. Call at
 /// arrivals and completions. `is_busy`: the concurrency limit is in use.
--- a/libs/control/include/almondlink/control/routing.h
+++ b/libs/control/include/almondlink/control/routing.h
@@ -38,7 +38,7 @@
   std::uint32_t utilization = 0;
   /// Pressure level told by the target, and when.
   std::uint32_t level = 0;
-  Millis level_time;
+  Millis level_received_at;
   TargetHealth health;
 };
 
@@ -60,7 +60,7 @@
 /// An index into the views, or why there is none.
 struct RouteChoice {
   std::optional<std::size_t> index;
-  NoRoute none;
+  NoRoute no_route;
 };
 
 /// Chooses a target for a request of that rank. A target whose fresh level
@@ -74,10 +74,10 @@
 double CostOf(const TargetView& view);
 
 /// The level that still counts at `now`, falling to 0 over kLevelLife.
-std::uint32_t FreshLevel(std::uint32_t level, Millis told, Millis now);
+std::uint32_t DecayedLevel(std::uint32_t level, Millis received_at, Millis now);
 
 /// Takes a whole-call latency into the moving mean.
-void NoteLatency(LatencyMs sample, TargetView& view);
+void RecordLatency(LatencyMs sample, TargetView& view);
 
 }  // namespace almondlink::control
 
--- a/libs/control/include/almondlink/control/service_time.h
+++ b/libs/control/include/almondlink/control/service_time.h
@@ -8,7 +8,7 @@
 /// How long an estimate is believed without a new sample. An estimate that
 /// refuses every request gets no sample; without this end it would hold the
 /// refusals up after the target is fast again.
-constexpr Millis kEstimateLife{300};
+constexpr Millis kEstimateLifetime{300};
 
 /// Moving estimate of the time a target takes, from its own completions.
 /// Plain data; one thread at a time.
@@ -21,12 +21,12 @@
 };
 
 /// Takes one sample.
-void NoteServiceTime(Millis now, LatencyMs sample, ServiceTime& estimate);
+void RecordServiceTime(Millis now, LatencyMs sample, ServiceTime& estimate);
 
 /// The time that a request likely needs at least: mean less deviation, so that
 /// a request is refused only when it very likely cannot finish. 0 if unknown or
 /// no longer believed.
-LatencyMs LikelyAtLeast(Millis now, const ServiceTime& estimate);
+LatencyMs LikelyMinServiceTime(Millis now, const ServiceTime& estimate);
 
 /// Whether a request that still waits for `ahead` others at a target that
 /// handles `limit` at once can be done by `deadline`.
--- a/libs/control/include/almondlink/control/weighted_turns.h
+++ b/libs/control/include/almondlink/control/weighted_round_robin.h
@@ -1,5 +1,5 @@
-#ifndef ALMONDLINK_CONTROL_WEIGHTED_TURNS_H_
-#define ALMONDLINK_CONTROL_WEIGHTED_TURNS_H_
+#ifndef ALMONDLINK_CONTROL_WEIGHTED_ROUND_ROBIN_H_
+#define ALMONDLINK_CONTROL_WEIGHTED_ROUND_ROBIN_H_
 
 #include <cstddef>
 #include <vector>
@@ -15,9 +15,9 @@
 namespace almondlink::control {
 
 /// State of one route on one node. Not thread safe.
-struct WeightedTurns {
+struct WeightedRoundRobin {
   /// How far each part is ahead, in weights; empty before the first turn.
-  std::vector<double> ahead;
+  std::vector<double> credits;
 };
 
 /// Number of the part whose turn it is. `weights`: one for each part, not
@@ -25,10 +25,10 @@
 /// where a node begins, used on the first turn and when the number of parts
 /// changed. Nodes must begin at different places, or all would send their first
 /// requests to the same part.
-std::size_t TakeTurn(const std::vector<double>& weights,
+std::size_t NextPart(const std::vector<double>& weights,
                      const std::vector<double>& draws,
-                     WeightedTurns& turns);
+                     WeightedRoundRobin& turns);
 
 }  // namespace almondlink::control
 
-#endif  // ALMONDLINK_CONTROL_WEIGHTED_TURNS_H_
+#endif  // ALMONDLINK_CONTROL_WEIGHTED_ROUND_ROBIN_H_
--- a/libs/control/include/almondlink/control/work_table.h
+++ b/libs/control/include/almondlink/control/work_table.h
@@ -50,47 +50,47 @@
 
   /// Notes that a call with this hash failed, so that the service's own repeat
   /// of it is charged.
-  void NoteFailure(SpanId span, std::uint64_t call_hash);
+  void RecordFailure(SpanId span, std::uint64_t call_hash);
 
   /// Whether a call with this hash failed before within the work.
   bool IsRepeat(SpanId span, std::uint64_t call_hash) const;
 
   /// Notes the pressure level that a refused call of the work met.
-  void NoteDownstream(SpanId span, std::uint32_t level);
+  void RecordDownstreamLevel(SpanId span, std::uint32_t level);
 
   /// Adds to the attempts made below this work.
-  void NoteAttempts(SpanId span, std::uint32_t attempts);
+  void AddAttempts(SpanId span, std::uint32_t attempts);
 
   /// What is left at the end of work.
-  struct Ended {
-    std::uint32_t grant_back = 0;
-    std::uint32_t downstream = 0;
+  struct FinishedWork {
+    std::uint32_t unspent_grant = 0;
+    std::uint32_t downstream_level = 0;
     std::uint32_t attempts = 0;
     /// A call of the work failed.
     bool is_call_failed = false;
   };
 
   /// Ends the work and returns what is left of it.
-  Ended End(SpanId span);
+  FinishedWork End(SpanId span);
 
   /// Work in progress.
   std::size_t Size() const;
 
  private:
-  static constexpr std::size_t kFailuresKept = 8;
+  static constexpr std::size_t kMaxFailures = 8;
 
   struct Slot {
     /// Generation in the high half, grant in the low half; an even generation
     /// is free.
-    std::atomic<std::uint64_t> word{0};
+    std::atomic<std::uint64_t> state{0};
     std::atomic<std::uint64_t> root_high{0};
     std::atomic<std::uint64_t> root_low{0};
     std::atomic<std::int64_t> deadline{0};
     std::atomic<std::uint32_t> criticality{0};
     std::atomic<std::uint32_t> depth{0};
-    std::atomic<std::uint32_t> downstream{0};
+    std::atomic<std::uint32_t> downstream_level{0};
     std::atomic<std::uint32_t> attempts{0};
-    std::array<std::atomic<std::uint64_t>, kFailuresKept> failures{};
+    std::array<std::atomic<std::uint64_t>, kMaxFailures> failures{};
   };
 
   Slot* SlotOf(SpanId span, std::uint32_t& generation) const;
--- a/libs/control/src/admission.cc
+++ b/libs/control/src/admission.cc
@@ -10,8 +10,8 @@
 namespace {
 
 /// Longest queue, in multiples of the limit, before service times are known.
-constexpr std::uint32_t kQueuePerPlace = 4;
-constexpr std::uint32_t kShortestQueue = 16;
+constexpr std::uint32_t kQueuePerSlot = 4;
+constexpr std::uint32_t kMinQueueCapacity = 16;
 constexpr std::uint32_t kThousand = 1000;
 
 /// Requests that can be served within the longest wait.
@@ -19,18 +19,18 @@
                           std::uint32_t limit,
                           const Admission& admission) {
   const double mean = admission.service_time.mean;
-  double turns = kQueuePerPlace;
+  double turns = kQueuePerSlot;
   if (mean > 0) {
     turns = static_cast<double>(rules.queue_limit.count) / mean;
   }
   const double capacity = std::min(turns, 64.0) * limit;
-  return std::max<std::size_t>(kShortestQueue,
+  return std::max<std::size_t>(kMinQueueCapacity,
                                static_cast<std::size_t>(capacity));
 }
 
-bool HasRoom(const AdmissionRules& rules,
-             Millis now,
-             const Admission& admission) {
+bool HasFreeSlot(const AdmissionRules& rules,
+                 Millis now,
+                 const Admission& admission) {
   return admission.in_flight < CurrentLimit(rules.limit, now, admission.limit);
 }
 
@@ -41,10 +41,10 @@
 }
 
 /// Why a request cannot be dispatched any more, or kNone.
-ErrorKind StaleKind(const AdmissionRules& rules,
-                    Millis now,
-                    const QueueEntry& entry,
-                    const Admission& admission) {
+ErrorKind ReasonToRefuse(const AdmissionRules& rules,
+                         Millis now,
+                         const QueueEntry& entry,
+                         const Admission& admission) {
   if (entry.request.deadline <= now) {
     return ErrorKind::kDeadlinePassed;
   }
@@ -59,10 +59,10 @@
 
 /// Refuses a waiting request for load, and before it every waiting request of a
 /// lesser class: they would otherwise take the places that it did not get.
-void RefuseForLoad(const AdmissionRequest& request,
-                   Admission& admission,
-                   AdmissionStep& step) {
-  ShedBelow(request.criticality, admission.pressure);
+void RefuseOverloaded(const AdmissionRequest& request,
+                      Admission& admission,
+                      AdmissionStep& step) {
+  ShedLessCritical(request.criticality, admission.pressure);
   while (!admission.queue.empty()) {
     const auto last = std::prev(admission.queue.end());
     if (last->first.criticality <= request.criticality) {
@@ -72,50 +72,50 @@
     const Criticality last_class = last->first.criticality;
     admission.waiting.erase(ticket);
     admission.queue.erase(last);
-    NoteExpired(last_class, admission.pressure);
+    RecordExpired(last_class, admission.pressure);
     step.refuse.push_back(Refusal{ticket, ErrorKind::kOverloaded});
   }
-  NoteExpired(request.criticality, admission.pressure);
+  RecordExpired(request.criticality, admission.pressure);
   step.refuse.push_back(Refusal{request.ticket, ErrorKind::kOverloaded});
 }
 
-void RefuseStale(ErrorKind kind,
-                 const AdmissionRequest& request,
-                 Admission& admission,
-                 AdmissionStep& step) {
+void RefuseWaiting(ErrorKind kind,
+                   const AdmissionRequest& request,
+                   Admission& admission,
+                   AdmissionStep& step) {
   if (kind == ErrorKind::kOverloaded) {
-    RefuseForLoad(request, admission, step);
+    RefuseOverloaded(request, admission, step);
     return;
   }
-  NoteExpired(request.criticality, admission.pressure);
+  RecordExpired(request.criticality, admission.pressure);
   step.refuse.push_back(Refusal{request.ticket, kind});
 }
 
 /// Fills free places from the queue.
-void Fill(const AdmissionRules& rules,
-          Millis now,
-          Admission& admission,
-          AdmissionStep& step) {
-  while (!admission.queue.empty() && HasRoom(rules, now, admission)) {
+void DispatchWaiting(const AdmissionRules& rules,
+                     Millis now,
+                     Admission& admission,
+                     AdmissionStep& step) {
+  while (!admission.queue.empty() && HasFreeSlot(rules, now, admission)) {
     const QueueEntry entry = admission.queue.begin()->second;
     RemoveFirst(admission);
-    const ErrorKind stale = StaleKind(rules, now, entry, admission);
+    const ErrorKind stale = ReasonToRefuse(rules, now, entry, admission);
     if (stale != ErrorKind::kNone) {
-      RefuseStale(stale, entry.request, admission, step);
+      RefuseWaiting(stale, entry.request, admission, step);
       continue;
     }
-    NoteDequeue(entry.request.criticality, now - entry.arrived,
-                rules.queue_target, admission.pressure);
+    RecordDequeue(entry.request.criticality, now - entry.arrived,
+                  rules.queue_target, admission.pressure);
     ++admission.in_flight;
     step.dispatch.push_back(entry.request.ticket);
   }
 }
 
-void Update(const AdmissionRules& rules,
-            Millis now,
-            Admission& admission,
-            AdmissionStep& step) {
-  const bool is_busy = !HasRoom(rules, now, admission);
+void UpdateThreshold(const AdmissionRules& rules,
+                     Millis now,
+                     Admission& admission,
+                     AdmissionStep& step) {
+  const bool is_busy = !HasFreeSlot(rules, now, admission);
   step.is_pressure_changed |=
       UpdatePressure(rules.queue_target, now, is_busy, admission.pressure);
 }
@@ -130,10 +130,10 @@
 }
 
 /// Evicts the last of the order while the queue is too long.
-void Trim(const AdmissionRules& rules,
-          Millis now,
-          Admission& admission,
-          AdmissionStep& step) {
+void EvictExcess(const AdmissionRules& rules,
+                 Millis now,
+                 Admission& admission,
+                 AdmissionStep& step) {
   const std::uint32_t limit = CurrentLimit(rules.limit, now, admission.limit);
   const std::size_t capacity = QueueCapacity(rules, limit, admission);
   while (admission.queue.size() > capacity) {
@@ -141,7 +141,7 @@
     const AdmissionRequest request = last->second.request;
     admission.waiting.erase(request.ticket);
     admission.queue.erase(last);
-    RefuseForLoad(request, admission, step);
+    RefuseOverloaded(request, admission, step);
   }
 }
 
@@ -162,13 +162,13 @@
   admission.pressure.window_start = now;
 }
 
-AdmissionStep Offer(const AdmissionRules& rules,
-                    Millis now,
-                    const AdmissionRequest& request,
-                    Admission& admission) {
+AdmissionStep SubmitRequest(const AdmissionRules& rules,
+                            Millis now,
+                            const AdmissionRequest& request,
+                            Admission& admission) {
   AdmissionStep step;
-  NoteArrival(request.rank, admission.pressure);
-  Update(rules, now, admission, step);
+  RecordArrival(request.rank, admission.pressure);
+  UpdateThreshold(rules, now, admission, step);
   if (request.deadline <= now) {
     step.refuse.push_back(Refusal{request.ticket, ErrorKind::kDeadlinePassed});
     return step;
@@ -186,41 +186,41 @@
     return step;
   }
   Enqueue(now, request, admission);
-  Fill(rules, now, admission, step);
-  Trim(rules, now, admission, step);
+  DispatchWaiting(rules, now, admission, step);
+  EvictExcess(rules, now, admission, step);
   return step;
 }
 
-AdmissionStep Complete(const AdmissionRules& rules,
-                       Millis now,
-                       LatencyMs latency,
-                       Outcome outcome,
-                       Admission& admission) {
+AdmissionStep CompleteRequest(const AdmissionRules& rules,
+                              Millis now,
+                              LatencyMs latency,
+                              Outcome outcome,
+                              Admission& admission) {
   assert(admission.in_flight > 0);
   AdmissionStep step;
-  NoteOutcome(rules.limit, now, latency, outcome, admission.in_flight,
-              admission.limit);
+  RecordOutcome(rules.limit, now, latency, outcome, admission.in_flight,
+                admission.limit);
   if (outcome == Outcome::kSuccess) {
-    NoteServiceTime(now, latency, admission.service_time);
+    RecordServiceTime(now, latency, admission.service_time);
   }
-  NoteCompletion(admission.pressure);
-  Update(rules, now, admission, step);
+  RecordCompletion(admission.pressure);
+  UpdateThreshold(rules, now, admission, step);
   --admission.in_flight;
-  Fill(rules, now, admission, step);
+  DispatchWaiting(rules, now, admission, step);
   return step;
 }
 
-AdmissionStep Release(const AdmissionRules& rules,
-                      Millis now,
-                      Admission& admission) {
+AdmissionStep ReleaseSlot(const AdmissionRules& rules,
+                          Millis now,
+                          Admission& admission) {
   assert(admission.in_flight > 0);
   AdmissionStep step;
   --admission.in_flight;
-  Fill(rules, now, admission, step);
+  DispatchWaiting(rules, now, admission, step);
   return step;
 }
 
-bool Withdraw(Ticket ticket, Admission& admission) {
+bool CancelWaiting(Ticket ticket, Admission& admission) {
   const auto found = admission.waiting.find(ticket);
   if (found == admission.waiting.end()) {
     return false;
@@ -230,25 +230,25 @@
   return true;
 }
 
-AdmissionStep Tick(const AdmissionRules& rules,
-                   Millis now,
-                   Admission& admission) {
+AdmissionStep RefuseExpired(const AdmissionRules& rules,
+                            Millis now,
+                            Admission& admission) {
   AdmissionStep step;
   // Collected first: a refusal for load takes others out of the queue.
   std::vector<std::pair<AdmissionRequest, ErrorKind>> stale;
   for (const auto& [order, entry] : admission.queue) {
-    const ErrorKind kind = StaleKind(rules, now, entry, admission);
+    const ErrorKind kind = ReasonToRefuse(rules, now, entry, admission);
     if (kind != ErrorKind::kNone) {
       stale.emplace_back(entry.request, kind);
     }
   }
   for (const auto& [request, kind] : stale) {
-    if (Withdraw(request.ticket, admission)) {
-      RefuseStale(kind, request, admission, step);
+    if (CancelWaiting(request.ticket, admission)) {
+      RefuseWaiting(kind, request, admission, step);
     }
   }
-  Update(rules, now, admission, step);
-  Fill(rules, now, admission, step);
+  UpdateThreshold(rules, now, admission, step);
+  DispatchWaiting(rules, now, admission, step);
   return step;
 }
 
--- a/libs/control/src/chain_counts.cc
+++ b/libs/control/src/chain_counts.cc
@@ -8,7 +8,7 @@
 
 /// Roots that the mean is taken over. Nodes are averaged besides, so this need
 /// not be many.
-constexpr double kRoots = 12;
+constexpr double kMaxAveragedRoots = 12;
 
 }  // namespace
 
@@ -20,11 +20,11 @@
       });
   if (found != end) {
     found->runs += runs.runs;
-  } else if (counts.size < CallCounts::kMost) {
+  } else if (counts.size < CallCounts::kMaxServices) {
     counts.entries[counts.size] = runs;
     ++counts.size;
   } else {
-    counts.is_cut = true;
+    counts.is_truncated = true;
   }
 }
 
@@ -37,21 +37,21 @@
   return 0;
 }
 
-void AddCounts(const CallCounts& more, CallCounts& counts) {
-  for (std::size_t i = 0; i < more.size; ++i) {
-    AddRuns(more.entries[i], counts);
+void AddCounts(const CallCounts& added, CallCounts& counts) {
+  for (std::size_t i = 0; i < added.size; ++i) {
+    AddRuns(added.entries[i], counts);
   }
-  counts.is_cut = counts.is_cut || more.is_cut;
+  counts.is_truncated = counts.is_truncated || added.is_truncated;
 }
 
-void NoteChain(std::uint32_t route,
-               const CallCounts& counts,
-               ChainCounts& chains) {
-  if (counts.is_cut || counts.size == 0) {
+void RecordChain(std::uint32_t route,
+                 const CallCounts& counts,
+                 ChainCounts& chains) {
+  if (counts.is_truncated || counts.size == 0) {
     return;
   }
   ChainCounts::Chain& chain = chains.routes[route];
-  chain.roots = std::min(kRoots, chain.roots + 1);
+  chain.roots = std::min(kMaxAveragedRoots, chain.roots + 1);
   for (ServiceCalls& known : chain.calls) {
     known.per_root -= known.per_root / chain.roots;
   }
--- a/libs/control/src/concurrency_limit.cc
+++ b/libs/control/src/concurrency_limit.cc
@@ -10,11 +10,11 @@
 /// Share of a cold target's slots that it gets at once.
 constexpr double kColdShare = 0.2;
 /// Share by which a window of failures lowers the limit.
-constexpr double kFailureCut = 0.85;
+constexpr double kFailureFactor = 0.85;
 /// Weight of a new window in the baseline when latency is near it.
 constexpr double kBaselineGain = 0.1;
 /// In-flight share of the limit from which it counts as used.
-constexpr double kUsedShare = 0.8;
+constexpr double kInUseShare = 0.8;
 
 /// One window's figures.
 struct Window {
@@ -31,13 +31,13 @@
   window.latency = limit.latency_sum / limit.samples;
   window.rate = limit.samples / span;
   window.failure_share = static_cast<double>(limit.failures) / limit.samples;
-  window.is_used = limit.most_in_flight >= kUsedShare * limit.limit;
+  window.is_used = limit.max_in_flight >= kInUseShare * limit.limit;
   limit.last_rate = window.rate;
   limit.window_start = now;
   limit.samples = 0;
   limit.failures = 0;
   limit.latency_sum = 0;
-  limit.most_in_flight = 0;
+  limit.max_in_flight = 0;
   return window;
 }
 
@@ -49,61 +49,64 @@
 void StartTrial(const LimitRules& rules,
                 const Window& window,
                 ConcurrencyLimit& limit) {
-  limit.phase = LimitPhase::kSettle;
+  limit.phase = LimitPhase::kSettling;
   limit.slow_windows = 0;
   limit.rate_before = window.rate;
   limit.latency_before = window.latency;
   limit.limit_before = limit.limit;
-  limit.limit = std::max(1.0, limit.limit * rules.cut);
+  limit.limit = std::max(1.0, limit.limit * rules.trial_factor);
 }
 
-void JudgeTrial(const LimitRules& rules,
-                Millis now,
-                const Window& window,
-                ConcurrencyLimit& limit) {
+void EvaluateTrial(const LimitRules& rules,
+                   Millis now,
+                   const Window& window,
+                   ConcurrencyLimit& limit) {
   limit.phase = LimitPhase::kSteady;
-  const bool is_harmless =
-      window.rate >= rules.harmless * limit.rate_before &&
-      window.latency <= rules.relieved * limit.latency_before;
-  if (is_harmless) {
-    limit.trial_wait = rules.first_wait;
+  const bool is_cut_kept =
+      window.rate >= rules.min_throughput_ratio * limit.rate_before &&
+      window.latency <= rules.max_latency_ratio * limit.latency_before;
+  if (is_cut_kept) {
+    limit.trial_backoff = rules.initial_trial_backoff;
     limit.next_trial = now;
     return;
   }
   limit.limit = limit.limit_before;
-  limit.baseline = limit.latency_before;
-  limit.next_trial = now + limit.trial_wait;
-  limit.trial_wait = std::min(rules.last_wait, limit.trial_wait * 2);
+  limit.baseline_latency = limit.latency_before;
+  limit.next_trial = now + limit.trial_backoff;
+  limit.trial_backoff =
+      std::min(rules.max_trial_backoff, limit.trial_backoff * 2);
 }
 
-void JudgeSteady(const LimitRules& rules,
-                 Millis now,
-                 const Window& window,
-                 ConcurrencyLimit& limit) {
-  if (window.failure_share > rules.failure_share) {
-    limit.limit = std::max(1.0, limit.limit * kFailureCut);
+void EvaluateSteady(const LimitRules& rules,
+                    Millis now,
+                    const Window& window,
+                    ConcurrencyLimit& limit) {
+  if (window.failure_share > rules.max_failure_share) {
+    limit.limit = std::max(1.0, limit.limit * kFailureFactor);
     return;
   }
-  if (limit.baseline == 0 || window.latency < limit.baseline) {
-    limit.baseline = window.latency;
+  if (limit.baseline_latency == 0 || window.latency < limit.baseline_latency) {
+    limit.baseline_latency = window.latency;
   }
-  const bool is_slow = window.latency > limit.baseline * rules.tolerance;
+  const bool is_slow =
+      window.latency > limit.baseline_latency * rules.latency_tolerance;
   limit.slow_windows = is_slow ? limit.slow_windows + 1 : 0;
   if (!is_slow) {
-    limit.trial_wait = rules.first_wait;
+    limit.trial_backoff = rules.initial_trial_backoff;
     if (window.is_used) {
       Grow(rules, limit);
     } else {
       // Only latency without queueing may move the baseline up by itself: with
       // the limit in use each growth would raise both, step by step.
-      limit.baseline += (window.latency - limit.baseline) * kBaselineGain;
+      limit.baseline_latency +=
+          (window.latency - limit.baseline_latency) * kBaselineGain;
     }
     return;
   }
-  const bool may_try = window.is_used && now >= limit.next_trial &&
-                       limit.limit > 1 &&
-                       limit.slow_windows >= rules.slow_windows;
-  if (may_try) {
+  const bool may_start_trial = window.is_used && now >= limit.next_trial &&
+                               limit.limit > 1 &&
+                               limit.slow_windows >= rules.min_slow_windows;
+  if (may_start_trial) {
     StartTrial(rules, window, limit);
   }
 }
@@ -115,40 +118,40 @@
   limit.limit = rules.slots;
   limit.started = now;
   limit.window_start = now;
-  limit.trial_wait = rules.first_wait;
+  limit.trial_backoff = rules.initial_trial_backoff;
 }
 
-void NoteOutcome(const LimitRules& rules,
-                 Millis now,
-                 LatencyMs latency,
-                 Outcome outcome,
-                 std::uint32_t in_flight,
-                 ConcurrencyLimit& limit) {
+void RecordOutcome(const LimitRules& rules,
+                   Millis now,
+                   LatencyMs latency,
+                   Outcome outcome,
+                   std::uint32_t in_flight,
+                   ConcurrencyLimit& limit) {
   ++limit.samples;
   limit.latency_sum += latency.count;
-  limit.most_in_flight = std::max(limit.most_in_flight, in_flight);
+  limit.max_in_flight = std::max(limit.max_in_flight, in_flight);
   if (outcome == Outcome::kFailure) {
     ++limit.failures;
   }
-  const bool is_judging =
+  const bool is_evaluating =
       limit.phase == LimitPhase::kTrial || limit.slow_windows > 0;
-  const bool is_open =
-      now - limit.window_start < rules.window ||
-      limit.samples < (is_judging ? rules.trial_samples : rules.min_samples);
+  const bool is_open = now - limit.window_start < rules.window ||
+                       limit.samples < (is_evaluating ? rules.min_trial_samples
+                                                      : rules.min_samples);
   if (is_open) {
     return;
   }
   const Window window = CloseWindow(now, limit);
   switch (limit.phase) {
     case LimitPhase::kSteady:
-      JudgeSteady(rules, now, window, limit);
+      EvaluateSteady(rules, now, window, limit);
       break;
-    case LimitPhase::kSettle:
+    case LimitPhase::kSettling:
       // Requests that started before the cut are still ending.
       limit.phase = LimitPhase::kTrial;
       break;
     case LimitPhase::kTrial:
-      JudgeTrial(rules, now, window, limit);
+      EvaluateTrial(rules, now, window, limit);
       break;
   }
 }
--- a/libs/control/src/demand_meter.cc
+++ b/libs/control/src/demand_meter.cc
@@ -12,33 +12,33 @@
 /// busy target, follow a target that turns slow.
 constexpr double kWorkWeight = 1.0 / 30;
 /// How long an estimate is believed without a new call.
-constexpr Millis kEstimateLife{1000};
-constexpr double kLeastPerSecond = 0.05;
+constexpr Millis kEstimateLifetime{1000};
+constexpr double kMinReportedPerSecond = 0.05;
 constexpr double kMillisPerSecond = 1000;
 
 }  // namespace
 
-void UpdateRate(double span_ms, double memory_ms, RateMeter& meter) {
-  const double keep = std::exp(-span_ms / memory_ms);
+void UpdateRate(double span_ms, double time_constant_ms, RateMeter& meter) {
+  const double keep = std::exp(-span_ms / time_constant_ms);
   const double rate = meter.events / span_ms * kMillisPerSecond;
   meter.per_s = std::max(0.0, keep * meter.per_s + (1 - keep) * rate);
   meter.events = 0;
 }
 
-void NoteDemand(std::uint32_t route, DemandMeter& meter) {
+void RecordDemand(std::uint32_t route, DemandMeter& meter) {
   ++meter.routes[route].arrivals.events;
 }
 
-void NoteTurnedAway(std::uint32_t route, DemandMeter& meter) {
+void RemoveRefusedDemand(std::uint32_t route, DemandMeter& meter) {
   --meter.routes[route].arrivals.events;
 }
 
-void NoteWork(std::uint32_t route,
-              Millis now,
-              LatencyMs work,
-              DemandMeter& meter) {
+void RecordWork(std::uint32_t route,
+                Millis now,
+                LatencyMs work,
+                DemandMeter& meter) {
   DemandMeter::PerRoute& entry = meter.routes[route];
-  entry.sampled = now;
+  entry.sampled_at = now;
   if (entry.work_ms == 0) {
     entry.work_ms = work.count;
     return;
@@ -46,7 +46,7 @@
   entry.work_ms += kWorkWeight * (work.count - entry.work_ms);
 }
 
-void ForgetWork(DemandMeter& meter) {
+void ResetWork(DemandMeter& meter) {
   for (auto& [route, entry] : meter.routes) {
     entry.work_ms = 0;
   }
@@ -60,11 +60,11 @@
   meter.window_start = now;
   for (auto entry = meter.routes.begin(); entry != meter.routes.end();) {
     RateMeter& arrivals = entry->second.arrivals;
-    UpdateRate(span, kStructureMemoryMs, arrivals);
-    if (now - entry->second.sampled > kEstimateLife) {
+    UpdateRate(span, kCallRatioTimeConstantMs, arrivals);
+    if (now - entry->second.sampled_at > kEstimateLifetime) {
       entry->second.work_ms = 0;
     }
-    const bool is_forgotten = arrivals.per_s < kLeastPerSecond / 2;
+    const bool is_forgotten = arrivals.per_s < kMinReportedPerSecond / 2;
     entry = is_forgotten ? meter.routes.erase(entry) : std::next(entry);
   }
 }
@@ -72,7 +72,7 @@
 std::vector<RouteDemand> DemandOf(const DemandMeter& meter) {
   std::vector<RouteDemand> demand;
   for (const auto& [route, entry] : meter.routes) {
-    if (entry.arrivals.per_s >= kLeastPerSecond) {
+    if (entry.arrivals.per_s >= kMinReportedPerSecond) {
       demand.push_back({route, entry.arrivals.per_s, entry.work_ms});
     }
   }
--- a/libs/control/src/downstream.cc
+++ b/libs/control/src/downstream.cc
@@ -5,14 +5,14 @@
 
 namespace almondlink::control {
 
-void NoteDownstreamLevel(Millis now,
-                         std::uint32_t level,
-                         DownstreamLevel& downstream) {
+void RecordDownstreamLevel(Millis now,
+                           std::uint32_t level,
+                           DownstreamLevel& downstream) {
   const std::uint32_t known =
-      FreshLevel(downstream.level, downstream.told, now);
+      DecayedLevel(downstream.level, downstream.received_at, now);
   if (level >= known) {
     downstream.level = level;
-    downstream.told = now;
+    downstream.received_at = now;
   }
 }
 
@@ -20,7 +20,7 @@
                       ShedRank rank,
                       const DownstreamLevel& downstream) {
   const std::uint32_t level =
-      FreshLevel(downstream.level, downstream.told, now);
+      DecayedLevel(downstream.level, downstream.received_at, now);
   return IsShedAt(level, rank);
 }
 
--- a/libs/control/src/pressure.cc
+++ b/libs/control/src/pressure.cc
@@ -7,79 +7,79 @@
 namespace {
 
 /// Ranks regained per window at least, and the share of those still shed.
-constexpr std::uint32_t kLeastRise = 16;
-constexpr std::uint32_t kRiseShare = 4;
+constexpr std::uint32_t kMinRise = 16;
+constexpr std::uint32_t kRiseDivisor = 4;
 /// A class that weighs most is never shed whole by a level alone: some of it
 /// must arrive so that recovery is seen.
-constexpr std::uint32_t kLeastThreshold = 8;
+constexpr std::uint32_t kMinThreshold = 8;
 /// More than completed is offered: what is too much waits in the queue by rank,
 /// while too little would leave places empty (1.05 to 1.3 were measured).
 constexpr double kHeadroom = 1.2;
 /// Completions in a window below which their number is chance, and says nothing
 /// about how far into a class the level should reach.
-constexpr std::uint32_t kLeastToJudge = 3;
-constexpr Millis kShortestRetryAfter{200};
-constexpr Millis kLongestRetryAfter{2000};
+constexpr std::uint32_t kMinCompletions = 3;
+constexpr Millis kMinRetryAfter{200};
+constexpr Millis kMaxRetryAfter{2000};
 
 std::uint32_t ThresholdFor(double offered, const Pressure& pressure) {
   double sum = 0;
   for (std::uint32_t rank = 0; rank < kRankCount; ++rank) {
     sum += pressure.arrivals[rank];
     if (sum > offered) {
-      return std::max(rank, kLeastThreshold);
+      return std::max(rank, kMinThreshold);
     }
   }
   return kRankCount;
 }
 
-void Restart(Millis now, Pressure& pressure) {
+void ResetWindow(Millis now, Pressure& pressure) {
   pressure.window_start = now;
   pressure.completed = 0;
   pressure.dequeued = 0;
   pressure.wait_sum = 0;
   pressure.expired = 0;
-  pressure.first_late = kCriticalityCount;
+  pressure.highest_late_class = kCriticalityCount;
   pressure.arrivals.fill(0);
 }
 
-void NoteLate(Criticality criticality, Pressure& pressure) {
-  pressure.first_late =
-      std::min(pressure.first_late, static_cast<std::uint32_t>(criticality));
+void RecordLate(Criticality criticality, Pressure& pressure) {
+  pressure.highest_late_class = std::min(
+      pressure.highest_late_class, static_cast<std::uint32_t>(criticality));
 }
 
-std::uint32_t Raised(std::uint32_t threshold) {
+std::uint32_t RaisedThreshold(std::uint32_t threshold) {
   const std::uint32_t rise =
-      std::max(kLeastRise, (kRankCount - threshold) / kRiseShare);
+      std::max(kMinRise, (kRankCount - threshold) / kRiseDivisor);
   return std::min(kRankCount, threshold + rise);
 }
 
 }  // namespace
 
-void NoteArrival(ShedRank rank, Pressure& pressure) {
+void RecordArrival(ShedRank rank, Pressure& pressure) {
   ++pressure.arrivals[std::min(rank.Value(), kRankCount - 1)];
 }
 
-void NoteDequeue(Criticality criticality,
-                 Millis wait,
-                 Millis queue_target,
-                 Pressure& pressure) {
+void RecordDequeue(Criticality criticality,
+                   Millis wait,
+                   Millis queue_target,
+                   Pressure& pressure) {
   ++pressure.dequeued;
   pressure.wait_sum += wait.count;
   if (wait > queue_target) {
-    NoteLate(criticality, pressure);
+    RecordLate(criticality, pressure);
   }
 }
 
-void NoteExpired(Criticality criticality, Pressure& pressure) {
+void RecordExpired(Criticality criticality, Pressure& pressure) {
   ++pressure.expired;
-  NoteLate(criticality, pressure);
+  RecordLate(criticality, pressure);
 }
 
-void NoteCompletion(Pressure& pressure) {
+void RecordCompletion(Pressure& pressure) {
   ++pressure.completed;
 }
 
-void ShedBelow(Criticality refused, Pressure& pressure) {
+void ShedLessCritical(Criticality refused, Pressure& pressure) {
   const std::uint32_t next_class =
       (static_cast<std::uint32_t>(refused) + 1) * kRanksPerClass;
   pressure.threshold = std::min(pressure.threshold, next_class);
@@ -99,16 +99,17 @@
       is_busy && (mean_wait > queue_target.count || pressure.expired > 0);
   if (is_over) {
     const double offered = std::max<double>(1, pressure.completed) * kHeadroom;
-    const bool is_judged = pressure.completed >= kLeastToJudge;
-    const std::uint32_t kept =
-        is_judged ? 0 : pressure.first_late * kRanksPerClass;
+    const bool has_enough_completions = pressure.completed >= kMinCompletions;
+    const std::uint32_t min_threshold =
+        has_enough_completions ? 0
+                               : pressure.highest_late_class * kRanksPerClass;
     const std::uint32_t wanted =
-        std::max(kept, ThresholdFor(offered, pressure));
+        std::max(min_threshold, ThresholdFor(offered, pressure));
     pressure.threshold = std::min(pressure.threshold, wanted);
   } else if (mean_wait * 2 <= queue_target.count) {
-    pressure.threshold = Raised(pressure.threshold);
+    pressure.threshold = RaisedThreshold(pressure.threshold);
   }
-  Restart(now, pressure);
+  ResetWindow(now, pressure);
   return pressure.threshold != before;
 }
 
@@ -125,9 +126,8 @@
 }
 
 Millis RetryAfter(std::uint32_t level) {
-  const std::int64_t span =
-      kLongestRetryAfter.count - kShortestRetryAfter.count;
-  return kShortestRetryAfter +
+  const std::int64_t span = kMaxRetryAfter.count - kMinRetryAfter.count;
+  return kMinRetryAfter +
          Millis{span * std::min(level, kRankCount) / kRankCount};
 }
 
--- a/libs/control/src/root_priority.cc
+++ b/libs/control/src/root_priority.cc
@@ -9,18 +9,19 @@
 /// Priorities of routes that are told apart below one of an account.
 constexpr std::uint32_t kRoutePriorities = 4;
 /// It travels in one byte.
-constexpr std::uint32_t kLast = 255;
+constexpr std::uint32_t kMaxPriority = 255;
 
 }  // namespace
 
 std::uint32_t RootPriority(std::uint32_t route_priority,
                            std::optional<std::uint32_t> account_priority) {
   if (!account_priority.has_value()) {
-    return std::min(route_priority, kLast);
+    return std::min(route_priority, kMaxPriority);
   }
-  const std::uint32_t account = std::min(*account_priority, kLast);
-  return std::min(kLast, account * kRoutePriorities +
-                             std::min(route_priority, kRoutePriorities - 1));
+  const std::uint32_t account = std::min(*account_priority, kMaxPriority);
+  return std::min(kMaxPriority,
+                  account * kRoutePriorities +
+                      std::min(route_priority, kRoutePriorities - 1));
 }
 
 }  // namespace almondlink::control
--- a/libs/control/src/root_rates.cc
+++ b/libs/control/src/root_rates.cc
@@ -13,9 +13,9 @@
 
 /// Time constant of the offered rate: short enough to follow a surge within
 /// half a second, long enough that the chance of arrivals does not move it.
-constexpr double kOfferedMemoryMs = 400;
+constexpr double kOfferedTimeConstantMs = 400;
 /// Roots a second below which a route is forgotten: one in some minutes.
-constexpr double kForgottenPerSecond = 0.01;
+constexpr double kMinRetainedPerSecond = 0.01;
 
 }  // namespace
 
@@ -24,17 +24,17 @@
   return found == admission.routes.end() ? 1.0 : found->second.share;
 }
 
-bool LetIn(std::uint32_t route,
-           std::uint32_t priority,
-           double draw,
-           ChainAdmission& admission) {
+bool TryAdmitRoot(std::uint32_t route,
+                  std::uint32_t priority,
+                  double draw,
+                  ChainAdmission& admission) {
   RouteShare& state = admission.routes[route];
   state.priority = priority;
   ++state.offered.events;
   if (state.share < 1 && draw >= state.share) {
     return false;
   }
-  ++state.let_in.events;
+  ++state.admitted.events;
   return true;
 }
 
@@ -44,26 +44,26 @@
     return;
   }
   admission.updated = now;
-  admission.span_ms = span;
+  admission.window_ms = span;
   for (auto entry = admission.routes.begin();
        entry != admission.routes.end();) {
     RouteShare& route = entry->second;
-    UpdateRate(span, kOfferedMemoryMs, route.offered);
-    UpdateRate(span, kStructureMemoryMs, route.let_in);
+    UpdateRate(span, kOfferedTimeConstantMs, route.offered);
+    UpdateRate(span, kCallRatioTimeConstantMs, route.admitted);
     const bool is_forgotten = route.share >= 1 &&
-                              route.offered.per_s < kForgottenPerSecond &&
-                              route.let_in.per_s < kForgottenPerSecond;
+                              route.offered.per_s < kMinRetainedPerSecond &&
+                              route.admitted.per_s < kMinRetainedPerSecond;
     entry = is_forgotten ? admission.routes.erase(entry) : std::next(entry);
   }
 }
 
-std::vector<RootRate> OwnRates(const ChainAdmission& admission) {
+std::vector<RootRate> LocalRootRates(const ChainAdmission& admission) {
   std::vector<RootRate> rates;
   for (const auto& [route, state] : admission.routes) {
     RootRate rate;
     rate.route = route;
     rate.offered_per_s = state.offered.per_s;
-    rate.let_in_per_s = state.let_in.per_s;
+    rate.admitted_per_s = state.admitted.per_s;
     const auto chain = admission.chains.routes.find(route);
     if (chain != admission.chains.routes.end()) {
       rate.calls = chain->second.calls;
@@ -73,22 +73,22 @@
   return rates;
 }
 
-bool HaveChainsMoved(const std::vector<RootRate>& told,
-                     const std::vector<RootRate>& now) {
-  constexpr double kMoved = 0.1;
-  for (const RootRate& rate : now) {
+bool HaveChainsChanged(const std::vector<RootRate>& announced,
+                       const std::vector<RootRate>& current) {
+  constexpr double kMinChange = 0.1;
+  for (const RootRate& rate : current) {
     const auto before = std::find_if(
-        told.begin(), told.end(),
+        announced.begin(), announced.end(),
         [&rate](const RootRate& entry) { return entry.route == rate.route; });
     for (const ServiceCalls& calls : rate.calls) {
       double known = 0;
-      if (before != told.end()) {
+      if (before != announced.end()) {
         for (const ServiceCalls& entry : before->calls) {
           known = entry.service == calls.service ? entry.per_root : known;
         }
       }
       if (std::abs(calls.per_root - known) >
-          kMoved * std::max(calls.per_root, known)) {
+          kMinChange * std::max(calls.per_root, known)) {
         return true;
       }
     }
@@ -96,23 +96,24 @@
   return false;
 }
 
-void AddRate(const RootRate& rate, std::map<std::uint32_t, RootSum>& sums) {
-  RootSum& sum = sums[rate.route];
+void AddRootRate(const RootRate& rate,
+                 std::map<std::uint32_t, RootTotals>& sums) {
+  RootTotals& sum = sums[rate.route];
   sum.offered_per_s += rate.offered_per_s;
-  sum.let_in_per_s += rate.let_in_per_s;
+  sum.admitted_per_s += rate.admitted_per_s;
   if (rate.calls.empty()) {
     return;
   }
   // What was counted stays known while nothing is let in.
-  const double weight = std::max(rate.let_in_per_s, kForgottenPerSecond);
+  const double weight = std::max(rate.admitted_per_s, kMinRetainedPerSecond);
   sum.counted_per_s += weight;
   for (const ServiceCalls& calls : rate.calls) {
     sum.calls_per_s[calls.service] += weight * calls.per_root;
   }
 }
 
-std::optional<double> CountedPerRoot(const RootSum& sum,
-                                     std::uint32_t service) {
+std::optional<double> CountedCallsPerRoot(const RootTotals& sum,
+                                          std::uint32_t service) {
   if (sum.counted_per_s <= 0) {
     return std::nullopt;
   }
--- a/libs/control/src/routing.cc
+++ b/libs/control/src/routing.cc
@@ -26,7 +26,7 @@
 struct Candidates {
   std::vector<std::size_t> near;
   std::vector<std::size_t> far;
-  std::uint32_t least_level = kRankCount;
+  std::uint32_t min_level = kRankCount;
   bool is_any_shedding = false;
 };
 
@@ -45,10 +45,11 @@
     if (!is_usable) {
       continue;
     }
-    const std::uint32_t level = FreshLevel(view.level, view.level_time, now);
+    const std::uint32_t level =
+        DecayedLevel(view.level, view.level_received_at, now);
     if (IsShedAt(level, rank)) {
       found.is_any_shedding = true;
-      found.least_level = std::min(found.least_level, level);
+      found.min_level = std::min(found.min_level, level);
       continue;
     }
     (view.is_own_zone ? found.near : found.far).push_back(i);
@@ -85,21 +86,23 @@
 
 }  // namespace
 
-std::uint32_t FreshLevel(std::uint32_t level, Millis told, Millis now) {
-  const Millis age = now - told;
-  if (age >= kLevelLife) {
+std::uint32_t DecayedLevel(std::uint32_t level,
+                           Millis received_at,
+                           Millis now) {
+  const Millis age = now - received_at;
+  if (age >= kLevelLifetime) {
     return 0;
   }
-  const std::int64_t left =
-      kLevelLife.count - std::max<std::int64_t>(0, age.count);
-  return static_cast<std::uint32_t>(level * left / kLevelLife.count);
+  const std::int64_t remaining =
+      kLevelLifetime.count - std::max<std::int64_t>(0, age.count);
+  return static_cast<std::uint32_t>(level * remaining / kLevelLifetime.count);
 }
 
 double CostOf(const TargetView& view) {
   const double latency = view.latency > 0 ? view.latency : kUnknownLatency;
   const double own = (view.in_flight + 1.0) / std::max(1U, view.slots);
-  const double told = view.utilization / kThousand;
-  return latency * (1 + own + told) + own * kUnknownLatency;
+  const double reported = view.utilization / kThousand;
+  return latency * (1 + own + reported) + own * kUnknownLatency;
 }
 
 RouteChoice ChooseTarget(const std::vector<TargetView>& views,
@@ -123,12 +126,12 @@
   }
   choice.index = near.has_value() ? near : far;
   if (!choice.index.has_value() && found.is_any_shedding) {
-    choice.none = NoRoute{ErrorKind::kOverloaded, found.least_level};
+    choice.no_route = NoRoute{ErrorKind::kOverloaded, found.min_level};
   }
   return choice;
 }
 
-void NoteLatency(LatencyMs sample, TargetView& view) {
+void RecordLatency(LatencyMs sample, TargetView& view) {
   if (view.latency == 0) {
     view.latency = sample.count;
     return;
--- a/libs/control/src/service_time.cc
+++ b/libs/control/src/service_time.cc
@@ -9,11 +9,11 @@
 
 constexpr double kGain = 0.1;
 /// Samples before an estimate is trusted.
-constexpr std::uint64_t kTrusted = 10;
+constexpr std::uint64_t kMinSamples = 10;
 
 }  // namespace
 
-void NoteServiceTime(Millis now, LatencyMs sample, ServiceTime& estimate) {
+void RecordServiceTime(Millis now, LatencyMs sample, ServiceTime& estimate) {
   ++estimate.samples;
   estimate.last_sample = now;
   if (estimate.samples == 1) {
@@ -25,9 +25,9 @@
   estimate.deviation += kGain * (std::abs(error) - estimate.deviation);
 }
 
-LatencyMs LikelyAtLeast(Millis now, const ServiceTime& estimate) {
-  const bool is_old = now - estimate.last_sample > kEstimateLife;
-  if (is_old || estimate.samples < kTrusted) {
+LatencyMs LikelyMinServiceTime(Millis now, const ServiceTime& estimate) {
+  const bool is_old = now - estimate.last_sample > kEstimateLifetime;
+  if (is_old || estimate.samples < kMinSamples) {
     return LatencyMs{0};
   }
   return LatencyMs{std::max(0.0, estimate.mean - estimate.deviation)};
@@ -38,10 +38,10 @@
                std::uint32_t ahead,
                std::uint32_t limit,
                const ServiceTime& estimate) {
-  const double least = LikelyAtLeast(now, estimate).count;
+  const double min_time = LikelyMinServiceTime(now, estimate).count;
   const double turns = static_cast<double>(ahead) / std::max(1U, limit);
-  const double left = static_cast<double>((deadline - now).count);
-  return left > 0 && least * (turns + 1) <= left;
+  const double time_left = static_cast<double>((deadline - now).count);
+  return time_left > 0 && min_time * (turns + 1) <= time_left;
 }
 
 }  // namespace almondlink::control
--- a/libs/control/src/usage.cc
+++ b/libs/control/src/usage.cc
@@ -8,7 +8,7 @@
 
 constexpr const char* kOtherTeam = "other";
 
-wire::UsageCell& CellOf(const UsageKey& key, UsageTable& table) {
+wire::UsageCell& FindOrAddCell(const UsageKey& key, UsageTable& table) {
   const auto found = table.cells.find(key);
   if (found != table.cells.end()) {
     return found->second;
@@ -49,28 +49,28 @@
 
 /// Counters never fall within an incarnation, so this never wraps for records
 /// that nodes wrote; a forged lower one counts as zero.
-std::uint64_t Less(std::uint64_t value, std::uint64_t before) {
+std::uint64_t CounterDelta(std::uint64_t value, std::uint64_t before) {
   return value > before ? value - before : 0;
 }
 
 wire::UsageCell Difference(const wire::UsageCell& last,
                            const wire::UsageCell& first) {
   wire::UsageCell cell = last;
-  cell.served = Less(last.served, first.served);
-  cell.not_run = Less(last.not_run, first.not_run);
-  cell.unknown = Less(last.unknown, first.unknown);
-  cell.retries = Less(last.retries, first.retries);
-  cell.wasted = Less(last.wasted, first.wasted);
+  cell.served = CounterDelta(last.served, first.served);
+  cell.not_run = CounterDelta(last.not_run, first.not_run);
+  cell.unknown = CounterDelta(last.unknown, first.unknown);
+  cell.retries = CounterDelta(last.retries, first.retries);
+  cell.wasted = CounterDelta(last.wasted, first.wasted);
   for (std::size_t i = 0; i < cell.refusals.size(); ++i) {
     const std::uint64_t before =
         i < first.refusals.size() ? first.refusals[i] : 0;
-    cell.refusals[i] = Less(last.refusals[i], before);
+    cell.refusals[i] = CounterDelta(last.refusals[i], before);
   }
   return cell;
 }
 
 /// The records of one incarnation that bound the time asked for.
-struct Span {
+struct IncarnationSpan {
   const wire::UsageRecord* first = nullptr;
   const wire::UsageRecord* last = nullptr;
   bool is_final = false;
@@ -80,10 +80,10 @@
   return known == nullptr || record.sequence > known->sequence;
 }
 
-void Extend(const wire::UsageRecord& record,
-            Millis from,
-            Millis to,
-            Span& span) {
+void ExtendSpan(const wire::UsageRecord& record,
+                Millis from,
+                Millis to,
+                IncarnationSpan& span) {
   const Millis time{record.time_ms};
   if (time < from && IsLater(record, span.first)) {
     span.first = &record;
@@ -94,7 +94,7 @@
   span.is_final = span.is_final || record.is_final;
 }
 
-void AddSpan(const Span& span, UsageReport& report) {
+void AddSpan(const IncarnationSpan& span, UsageReport& report) {
   if (span.last == nullptr) {
     return;
   }
@@ -122,7 +122,7 @@
                ErrorKind outcome,
                std::uint32_t retries,
                UsageTable& table) {
-  wire::UsageCell& cell = CellOf(key, table);
+  wire::UsageCell& cell = FindOrAddCell(key, table);
   cell.retries += retries;
   switch (AnswerFor(outcome).verdict) {
     case Verdict::kAnswered:
@@ -140,12 +140,12 @@
 }
 
 void CountWasted(const UsageKey& key, UsageTable& table) {
-  ++CellOf(key, table).wasted;
+  ++FindOrAddCell(key, table).wasted;
 }
 
 void AddUsage(const UsageTable& from, UsageTable& into) {
   for (const auto& [key, cell] : from.cells) {
-    AddCell(cell, CellOf(key, into));
+    AddCell(cell, FindOrAddCell(key, into));
   }
 }
 
@@ -161,9 +161,9 @@
 UsageReport FoldUsage(const std::vector<wire::UsageRecord>& records,
                       Millis from,
                       Millis to) {
-  std::map<std::pair<std::string, std::uint64_t>, Span> spans;
+  std::map<std::pair<std::string, std::uint64_t>, IncarnationSpan> spans;
   for (const wire::UsageRecord& record : records) {
-    Extend(record, from, to, spans[{record.node, record.incarnation}]);
+    ExtendSpan(record, from, to, spans[{record.node, record.incarnation}]);
   }
   UsageReport report;
   for (const auto& [source, span] : spans) {
--- a/libs/control/src/work_table.cc
+++ b/libs/control/src/work_table.cc
@@ -8,7 +8,7 @@
 
 constexpr std::uint32_t kGenerationShift = 32;
 constexpr std::uint64_t kGrantMask = 0xffffffffULL;
-constexpr std::size_t kProbes = 64;
+constexpr std::size_t kMaxProbes = 64;
 
 std::uint32_t GenerationOf(std::uint64_t word) {
   return static_cast<std::uint32_t>(word >> kGenerationShift);
@@ -18,7 +18,7 @@
   return static_cast<std::uint32_t>(word & kGrantMask);
 }
 
-std::uint64_t WordOf(std::uint32_t generation, std::uint32_t grant) {
+std::uint64_t PackState(std::uint32_t generation, std::uint32_t grant) {
   return (static_cast<std::uint64_t>(generation) << kGenerationShift) | grant;
 }
 
@@ -26,9 +26,9 @@
   return (generation & 1U) != 0;
 }
 
-std::size_t PowerOfTwo(std::size_t least) {
+std::size_t RoundUpToPowerOfTwo(std::size_t min_size) {
   std::size_t size = 1;
-  while (size < least) {
+  while (size < min_size) {
     size *= 2;
   }
   return size;
@@ -37,9 +37,9 @@
 }  // namespace
 
 WorkTable::WorkTable(std::size_t capacity, std::uint64_t secret)
-    : mask(PowerOfTwo(capacity) - 1),
+    : mask(RoundUpToPowerOfTwo(capacity) - 1),
       secret(secret),
-      slots(std::make_unique<Slot[]>(PowerOfTwo(capacity))) {}
+      slots(std::make_unique<Slot[]>(RoundUpToPowerOfTwo(capacity))) {}
 
 SpanId WorkTable::SpanOf(std::size_t index, std::uint32_t generation) const {
   const std::uint64_t plain =
@@ -59,19 +59,19 @@
 std::optional<SpanId> WorkTable::Begin(const WorkContext& context,
                                        std::uint32_t grant) {
   const std::size_t start = this->next.fetch_add(1, std::memory_order_relaxed);
-  const std::size_t probes = std::min(kProbes, this->mask + 1);
+  const std::size_t probes = std::min(kMaxProbes, this->mask + 1);
   for (std::size_t i = 0; i < probes; ++i) {
     const std::size_t index = (start + i) & this->mask;
     Slot& slot = this->slots[index];
-    std::uint64_t word = slot.word.load(std::memory_order_acquire);
+    std::uint64_t word = slot.state.load(std::memory_order_acquire);
     const std::uint32_t generation = GenerationOf(word);
     // The fields are written before the odd generation appears. Until then a 1
     // in the grant half of the even generation keeps other writers off.
     if (IsInUse(generation) || GrantOf(word) != 0) {
       continue;
     }
-    if (!slot.word.compare_exchange_strong(word, WordOf(generation, 1),
-                                           std::memory_order_acq_rel)) {
+    if (!slot.state.compare_exchange_strong(word, PackState(generation, 1),
+                                            std::memory_order_acq_rel)) {
       continue;
     }
     slot.root_high.store(context.root.high, std::memory_order_relaxed);
@@ -80,12 +80,13 @@
     slot.criticality.store(static_cast<std::uint32_t>(context.criticality),
                            std::memory_order_relaxed);
     slot.depth.store(context.depth, std::memory_order_relaxed);
-    slot.downstream.store(0, std::memory_order_relaxed);
+    slot.downstream_level.store(0, std::memory_order_relaxed);
     slot.attempts.store(0, std::memory_order_relaxed);
     for (std::atomic<std::uint64_t>& failure : slot.failures) {
       failure.store(0, std::memory_order_relaxed);
     }
-    slot.word.store(WordOf(generation + 1, grant), std::memory_order_release);
+    slot.state.store(PackState(generation + 1, grant),
+                     std::memory_order_release);
     this->size.fetch_add(1, std::memory_order_relaxed);
     return this->SpanOf(index, generation + 1);
   }
@@ -96,7 +97,7 @@
   std::uint32_t generation = 0;
   const Slot* slot = this->SlotOf(span, generation);
   if (slot == nullptr ||
-      GenerationOf(slot->word.load(std::memory_order_acquire)) != generation) {
+      GenerationOf(slot->state.load(std::memory_order_acquire)) != generation) {
     return std::nullopt;
   }
   WorkContext context;
@@ -108,7 +109,7 @@
   context.depth = slot->depth.load(std::memory_order_relaxed);
   std::atomic_thread_fence(std::memory_order_acquire);
   // The slot may have been given to other work while it was read.
-  if (GenerationOf(slot->word.load(std::memory_order_relaxed)) != generation) {
+  if (GenerationOf(slot->state.load(std::memory_order_relaxed)) != generation) {
     return std::nullopt;
   }
   return context;
@@ -120,14 +121,14 @@
   if (slot == nullptr) {
     return 0;
   }
-  std::uint64_t word = slot->word.load(std::memory_order_acquire);
+  std::uint64_t word = slot->state.load(std::memory_order_acquire);
   while (GenerationOf(word) == generation) {
     const std::uint32_t lent = GrantOf(word) / 2;
     if (lent == 0) {
       return 0;
     }
-    if (slot->word.compare_exchange_weak(
-            word, WordOf(generation, GrantOf(word) - lent),
+    if (slot->state.compare_exchange_weak(
+            word, PackState(generation, GrantOf(word) - lent),
             std::memory_order_acq_rel)) {
       return lent;
     }
@@ -141,11 +142,11 @@
   if (slot == nullptr) {
     return false;
   }
-  std::uint64_t word = slot->word.load(std::memory_order_acquire);
+  std::uint64_t word = slot->state.load(std::memory_order_acquire);
   while (GenerationOf(word) == generation && GrantOf(word) > 0) {
-    if (slot->word.compare_exchange_weak(word,
-                                         WordOf(generation, GrantOf(word) - 1),
-                                         std::memory_order_acq_rel)) {
+    if (slot->state.compare_exchange_weak(
+            word, PackState(generation, GrantOf(word) - 1),
+            std::memory_order_acq_rel)) {
       return true;
     }
   }
@@ -158,17 +159,17 @@
   if (slot == nullptr || unspent == 0) {
     return;
   }
-  std::uint64_t word = slot->word.load(std::memory_order_acquire);
+  std::uint64_t word = slot->state.load(std::memory_order_acquire);
   while (GenerationOf(word) == generation) {
-    if (slot->word.compare_exchange_weak(
-            word, WordOf(generation, GrantOf(word) + unspent),
+    if (slot->state.compare_exchange_weak(
+            word, PackState(generation, GrantOf(word) + unspent),
             std::memory_order_acq_rel)) {
       return;
     }
   }
 }
 
-void WorkTable::NoteFailure(SpanId span, std::uint64_t call_hash) {
+void WorkTable::RecordFailure(SpanId span, std::uint64_t call_hash) {
   std::uint32_t generation = 0;
   Slot* slot = this->SlotOf(span, generation);
   if (slot == nullptr || !this->Find(span).has_value()) {
@@ -199,19 +200,19 @@
   return slot->failures.back().load() != 0;
 }
 
-void WorkTable::NoteDownstream(SpanId span, std::uint32_t level) {
+void WorkTable::RecordDownstreamLevel(SpanId span, std::uint32_t level) {
   std::uint32_t generation = 0;
   Slot* slot = this->SlotOf(span, generation);
   if (slot == nullptr || !this->Find(span).has_value()) {
     return;
   }
-  std::uint32_t known = slot->downstream.load();
+  std::uint32_t known = slot->downstream_level.load();
   while (known < level &&
-         !slot->downstream.compare_exchange_weak(known, level)) {
+         !slot->downstream_level.compare_exchange_weak(known, level)) {
   }
 }
 
-void WorkTable::NoteAttempts(SpanId span, std::uint32_t attempts) {
+void WorkTable::AddAttempts(SpanId span, std::uint32_t attempts) {
   std::uint32_t generation = 0;
   Slot* slot = this->SlotOf(span, generation);
   if (slot != nullptr && this->Find(span).has_value()) {
@@ -219,26 +220,26 @@
   }
 }
 
-WorkTable::Ended WorkTable::End(SpanId span) {
+WorkTable::FinishedWork WorkTable::End(SpanId span) {
   std::uint32_t generation = 0;
   Slot* slot = this->SlotOf(span, generation);
-  Ended ended;
+  FinishedWork ended;
   if (slot == nullptr) {
     return ended;
   }
-  std::uint64_t word = slot->word.load(std::memory_order_acquire);
+  std::uint64_t word = slot->state.load(std::memory_order_acquire);
   while (GenerationOf(word) == generation) {
-    ended.downstream = slot->downstream.load();
+    ended.downstream_level = slot->downstream_level.load();
     ended.attempts = slot->attempts.load();
     ended.is_call_failed = slot->failures.front().load() != 0;
-    if (slot->word.compare_exchange_weak(word, WordOf(generation + 1, 0),
-                                         std::memory_order_acq_rel)) {
-      ended.grant_back = GrantOf(word);
+    if (slot->state.compare_exchange_weak(word, PackState(generation + 1, 0),
+                                          std::memory_order_acq_rel)) {
+      ended.unspent_grant = GrantOf(word);
       this->size.fetch_sub(1, std::memory_order_relaxed);
       return ended;
     }
   }
-  return Ended{};
+  return FinishedWork{};
 }
 
 std::size_t WorkTable::Size() const {
--- a/libs/control/tests/admission_test.cc
+++ b/libs/control/tests/admission_test.cc
@@ -39,13 +39,14 @@
   std::uint64_t ticket = 0;
   std::vector<std::uint64_t> sheddable;
   for (int i = 0; i < 20; ++i) {
-    Offer(rules, Millis{0}, Make(++ticket, Criticality::kSheddable), admission);
+    SubmitRequest(rules, Millis{0}, Make(++ticket, Criticality::kSheddable),
+                  admission);
   }
   int refused_critical = 0;
   int refused_other = 0;
   for (int i = 0; i < 16; ++i) {
     const std::uint64_t critical = ++ticket;
-    const AdmissionStep step = Offer(
+    const AdmissionStep step = SubmitRequest(
         rules, Millis{1}, Make(critical, Criticality::kCritical), admission);
     refused_critical += IsRefused(step, critical) ? 1 : 0;
     refused_other += static_cast<int>(step.refuse.size());
@@ -59,13 +60,13 @@
   // nothing is completed, and the level that fits that little lies within the
   // ranks of the few orders that came too, though no order waited.
   Pressure pressure;
-  NoteArrival(ShedRank(10), pressure);
-  NoteArrival(ShedRank(200), pressure);
+  RecordArrival(ShedRank(10), pressure);
+  RecordArrival(ShedRank(200), pressure);
   for (std::uint32_t page = 0; page < 40; ++page) {
-    NoteArrival(ShedRank(2 * kRanksPerClass + page), pressure);
-    NoteDequeue(Criticality::kNormal, Millis{80}, Millis{20}, pressure);
+    RecordArrival(ShedRank(2 * kRanksPerClass + page), pressure);
+    RecordDequeue(Criticality::kNormal, Millis{80}, Millis{20}, pressure);
   }
-  NoteCompletion(pressure);
+  RecordCompletion(pressure);
   UpdatePressure(Millis{20}, Millis{100}, true, pressure);
   REQUIRE(IsBelowThreshold(ShedRank(255), pressure));
   REQUIRE_FALSE(IsBelowThreshold(ShedRank(2 * kRanksPerClass + 39), pressure));
@@ -93,11 +94,12 @@
         const auto criticality = static_cast<Criticality>(random() % 4);
         ++ticket;
         classes[Ticket(ticket)] = criticality;
-        check(Offer(rules, Millis{time}, Make(ticket, criticality), admission));
+        check(SubmitRequest(rules, Millis{time}, Make(ticket, criticality),
+                            admission));
       }
       if (admission.in_flight > 0 && time % 2 == 0) {
-        check(Complete(rules, Millis{time}, LatencyMs{8}, Outcome::kSuccess,
-                       admission));
+        check(CompleteRequest(rules, Millis{time}, LatencyMs{8},
+                              Outcome::kSuccess, admission));
       }
     }
   }
@@ -108,19 +110,22 @@
   Admission admission;
   StartAdmission(rules, Millis{0}, admission);
   for (std::uint64_t i = 1; i <= 20; ++i) {
-    Offer(rules, Millis{0}, Make(i, Criticality::kNormal), admission);
-    Complete(rules, Millis{0}, LatencyMs{100}, Outcome::kSuccess, admission);
+    SubmitRequest(rules, Millis{0}, Make(i, Criticality::kNormal), admission);
+    CompleteRequest(rules, Millis{0}, LatencyMs{100}, Outcome::kSuccess,
+                    admission);
   }
   AdmissionRequest request = Make(100, Criticality::kCritical);
   request.deadline = Millis{50};
-  const AdmissionStep step = Offer(rules, Millis{0}, request, admission);
+  const AdmissionStep step =
+      SubmitRequest(rules, Millis{0}, request, admission);
   REQUIRE(step.refuse.size() == 1);
   REQUIRE(step.refuse[0].kind == ErrorKind::kDeadlineUnmeetable);
   // Without new samples the estimate is given up, or nothing would ever be
   // tried again.
   request.ticket = Ticket(101);
   request.deadline = Millis{450};
-  const AdmissionStep later = Offer(rules, Millis{400}, request, admission);
+  const AdmissionStep later =
+      SubmitRequest(rules, Millis{400}, request, admission);
   REQUIRE(later.dispatch.size() == 1);
 }
 
@@ -129,10 +134,10 @@
   Admission admission;
   StartAdmission(rules, Millis{0}, admission);
   for (std::uint64_t i = 1; i <= 5; ++i) {
-    Offer(rules, Millis{0}, Make(i, Criticality::kNormal), admission);
+    SubmitRequest(rules, Millis{0}, Make(i, Criticality::kNormal), admission);
   }
   REQUIRE(admission.queue.size() == 1);
-  const AdmissionStep step = Tick(rules, Millis{200}, admission);
+  const AdmissionStep step = RefuseExpired(rules, Millis{200}, admission);
   REQUIRE(step.refuse.size() == 1);
   REQUIRE(step.refuse[0].kind == ErrorKind::kOverloaded);
   REQUIRE(admission.queue.empty());
@@ -142,14 +147,14 @@
 /// A target with room for `room` requests at once and a FIFO queue of its own.
 struct FakeTarget {
   double service_ms = 10;
-  std::size_t room = 8;
+  std::size_t capacity = 8;
   std::deque<double> ends;
 
   double Start(double now) {
     std::sort(this->ends.begin(), this->ends.end());
     double begin = now;
-    if (this->ends.size() >= this->room) {
-      begin = std::max(now, this->ends[this->ends.size() - this->room]);
+    if (this->ends.size() >= this->capacity) {
+      begin = std::max(now, this->ends[this->ends.size() - this->capacity]);
     }
     this->ends.push_back(begin + this->service_ms);
     return begin + this->service_ms;
@@ -171,11 +176,11 @@
       running.emplace(target.Start(now), now);
     }
     const double end = running.begin()->first;
-    const double begun = running.begin()->second;
+    const double started = running.begin()->second;
     now = end;
-    NoteOutcome(rules, Millis{static_cast<std::int64_t>(now)},
-                LatencyMs{end - begun}, Outcome::kSuccess,
-                static_cast<std::uint32_t>(running.size()), limit);
+    RecordOutcome(rules, Millis{static_cast<std::int64_t>(now)},
+                  LatencyMs{end - started}, Outcome::kSuccess,
+                  static_cast<std::uint32_t>(running.size()), limit);
     running.erase(running.begin());
     while (!target.ends.empty() && target.ends.front() <= now) {
       target.ends.pop_front();
@@ -193,7 +198,7 @@
   StartLimit(rules, Millis{0}, limit);
   FakeTarget target;
   double now = 0;
-  limit.baseline = 10;
+  limit.baseline_latency = 10;
   Drive(rules, target, now, 10'000, limit);
   REQUIRE(limit.limit < 24);
   // 8 places of 10 ms each: 800 a second, of which almost all are used.
@@ -207,7 +212,7 @@
   ConcurrencyLimit limit;
   StartLimit(rules, Millis{0}, limit);
   FakeTarget target;
-  target.room = 32;
+  target.capacity = 32;
   double now = 0;
   Drive(rules, target, now, 3'000, limit);
   target.service_ms = 100;
@@ -233,12 +238,12 @@
   Pressure pressure;
   // Four times what is completed arrives, evenly over the ranks.
   for (std::uint32_t rank = 0; rank < kRankCount; ++rank) {
-    NoteArrival(ShedRank(rank), pressure);
+    RecordArrival(ShedRank(rank), pressure);
   }
   for (int i = 0; i < 256; ++i) {
-    NoteCompletion(pressure);
-    NoteDequeue(static_cast<Criticality>(i % 4), Millis{80}, Millis{20},
-                pressure);
+    RecordCompletion(pressure);
+    RecordDequeue(static_cast<Criticality>(i % 4), Millis{80}, Millis{20},
+                  pressure);
   }
   REQUIRE(UpdatePressure(Millis{20}, Millis{100}, true, pressure));
   // What was completed, with the headroom of a fifth.
--- a/libs/control/tests/chain_admission_test.cc
+++ b/libs/control/tests/chain_admission_test.cc
@@ -9,10 +9,10 @@
 namespace almondlink::control {
 namespace {
 
-RootSum Rates(double offered_per_s, double let_in_per_s) {
-  RootSum sum;
+RootTotals Rates(double offered_per_s, double admitted_per_s) {
+  RootTotals sum;
   sum.offered_per_s = offered_per_s;
-  sum.let_in_per_s = let_in_per_s;
+  sum.admitted_per_s = admitted_per_s;
   return sum;
 }
 
@@ -38,23 +38,23 @@
 
 /// What became of the requests of one kind in a stretch of time.
 struct Count {
-  int asked = 0;
-  int let_in = 0;
-  int whole = 0;
+  int offered = 0;
+  int admitted = 0;
+  int completed = 0;
 };
 
 /// Root requests at one entry, and one short service with `slots` places, in
 /// steps of a millisecond. A call that waited over `patience_ms` fails its
 /// request.
-class Chain {
+class ChainSimulation {
  public:
-  explicit Chain(int slots_in) : slots(slots_in) {}
+  explicit ChainSimulation(int slots_in) : slots(slots_in) {}
 
   double load = 1;
   /// Factor on the time of every call.
   double slowness = 1;
   /// Whether what is refused comes back at once, three times.
-  bool is_stormy = false;
+  bool has_retry_storm = false;
 
   std::map<std::uint32_t, Count> Run(int milliseconds) {
     std::map<std::uint32_t, Count> counts;
@@ -83,12 +83,12 @@
   void Offer(const Kind& kind, std::map<std::uint32_t, Count>& counts) {
     std::uniform_real_distribution<double> draw(0, 1);
     Count& count = counts[kind.route];
-    ++count.asked;
-    if (!LetIn(kind.route, kind.priority, draw(this->random),
-               this->admission)) {
+    ++count.offered;
+    if (!TryAdmitRoot(kind.route, kind.priority, draw(this->random),
+                      this->admission)) {
       return;
     }
-    ++count.let_in;
+    ++count.admitted;
     Request request;
     request.kind = &kind;
     request.calls_left = kind.calls;
@@ -99,13 +99,13 @@
   void Arrive(std::map<std::uint32_t, Count>& counts) {
     for (const Kind& kind : kKinds) {
       std::poisson_distribution<int> arrivals(kind.per_s * this->load / 1000);
-      const int many = arrivals(this->random);
-      for (int i = 0; i < many; ++i) {
-        const int before = counts[kind.route].let_in;
+      const int arrived = arrivals(this->random);
+      for (int i = 0; i < arrived; ++i) {
+        const int before = counts[kind.route].admitted;
         this->Offer(kind, counts);
-        const bool is_refused = counts[kind.route].let_in == before;
-        for (int again = 0; this->is_stormy && is_refused && again < 3;
-             ++again) {
+        const bool is_refused = counts[kind.route].admitted == before;
+        for (int retry = 0; this->has_retry_storm && is_refused && retry < 3;
+             ++retry) {
           this->Offer(kind, counts);
         }
       }
@@ -113,30 +113,31 @@
   }
 
   void Enqueue(Request request) {
-    NoteDemand(request.kind->route, this->meter);
+    RecordDemand(request.kind->route, this->meter);
     request.ready = this->now;
     this->queue.push_back(request);
   }
 
   void Serve(std::map<std::uint32_t, Count>& counts) {
-    constexpr Millis kPatience{700};
-    std::deque<Request> still;
+    constexpr Millis kMaxWait{700};
+    std::deque<Request> unfinished;
     std::vector<Request> next;
     for (Request& request : this->running) {
       if (request.ends > this->now) {
-        still.push_back(request);
+        unfinished.push_back(request);
         continue;
       }
-      NoteWork(request.kind->route, this->now,
-               LatencyMs{request.kind->work_ms * this->slowness}, this->meter);
+      RecordWork(request.kind->route, this->now,
+                 LatencyMs{request.kind->work_ms * this->slowness},
+                 this->meter);
       --request.calls_left;
       if (request.calls_left == 0) {
-        ++counts[request.kind->route].whole;
+        ++counts[request.kind->route].completed;
       } else {
         next.push_back(request);
       }
     }
-    this->running.swap(still);
+    this->running.swap(unfinished);
     for (const Request& request : next) {
       this->Enqueue(request);
     }
@@ -144,7 +145,7 @@
            this->running.size() < static_cast<std::size_t>(this->slots)) {
       Request request = this->queue.front();
       this->queue.pop_front();
-      if (this->now - request.ready > kPatience) {
+      if (this->now - request.ready > kMaxWait) {
         continue;
       }
       std::exponential_distribution<double> work(
@@ -157,16 +158,16 @@
   void Update() {
     UpdateDemand(this->now, this->meter);
     UpdateRootRates(this->now, this->admission);
-    TargetRoom target;
+    TargetCapacity target;
     target.slots = static_cast<std::uint32_t>(this->slots);
     target.waiting = static_cast<std::uint32_t>(this->queue.size());
     target.work_ms = MeanWorkMs(this->meter);
     target.demand = DemandOf(this->meter);
-    std::map<std::uint32_t, RootSum> roots;
-    for (const RootRate& rate : OwnRates(this->admission)) {
-      AddRate(rate, roots);
+    std::map<std::uint32_t, RootTotals> roots;
+    for (const RootRate& rate : LocalRootRates(this->admission)) {
+      AddRootRate(rate, roots);
     }
-    UpdateShares(ChainRules(), {ServiceRoom{"short", {target}}}, roots,
+    UpdateShares(ChainRules(), {ServiceCapacity{"short", {target}}}, roots,
                  this->admission);
   }
 
@@ -179,30 +180,30 @@
   std::mt19937 random{7};
 };
 
-double WholeShare(const Count& count) {
-  return static_cast<double>(count.whole) / count.asked;
+double CompletedShare(const Count& count) {
+  return static_cast<double>(count.completed) / count.offered;
 }
 
 /// Rules that plan for less than all slots, from which some figures below are
 /// worked out.
-ChainRules WithReserve() {
+ChainRules RulesWithReserve() {
   ChainRules rules;
   rules.planned_share = 0.94;
   return rules;
 }
 
 TEST_CASE("with room for all nothing is refused") {
-  Chain chain(140);
+  ChainSimulation chain(140);
   chain.Run(3000);
   for (const auto& [route, count] : chain.Run(5000)) {
-    REQUIRE(count.let_in == count.asked);
+    REQUIRE(count.admitted == count.offered);
   }
 }
 
 TEST_CASE("a surge of 1.7 over a load of 1.4 is refused by priority") {
   // Pattern: load of 1.4 with a burst of 1.7 for 20 s on a service that is 0.84
   // busy at the usual rate: 2.0 times what it can do.
-  Chain chain(129);
+  ChainSimulation chain(129);
   chain.load = 1.4;
   chain.Run(5000);
   chain.load = 1.4 * 1.7;
@@ -210,22 +211,22 @@
   std::map<std::uint32_t, Count> surge = chain.Run(20'000);
   // What is most valued is served whole, the least valued gets what is left,
   // and what is let in completes.
-  REQUIRE(WholeShare(surge[kRelease]) > 0.95);
-  REQUIRE(WholeShare(surge[kLookup]) > 0.95);
-  REQUIRE(WholeShare(surge[kCheck]) > 0.2);
-  REQUIRE(WholeShare(surge[kCheck]) < 0.6);
-  REQUIRE(surge[kCheck].whole > 0.95 * surge[kCheck].let_in);
+  REQUIRE(CompletedShare(surge[kRelease]) > 0.95);
+  REQUIRE(CompletedShare(surge[kLookup]) > 0.95);
+  REQUIRE(CompletedShare(surge[kCheck]) > 0.2);
+  REQUIRE(CompletedShare(surge[kCheck]) < 0.6);
+  REQUIRE(surge[kCheck].completed > 0.95 * surge[kCheck].admitted);
   // Back to normal within two seconds of its end.
   chain.load = 0.9;
   chain.Run(2000);
   std::map<std::uint32_t, Count> after = chain.Run(2000);
-  REQUIRE(WholeShare(after[kCheck]) > 0.97);
+  REQUIRE(CompletedShare(after[kCheck]) > 0.97);
 }
 
 TEST_CASE("shares stand still under a steady load") {
   // Found on a day with two thirds of a service gone: shares that were found by
   // feedback swung between 0.1 and 0.9.
-  Chain chain(60);
+  ChainSimulation chain(60);
   chain.Run(6000);
   double least = 1;
   double most = 0;
@@ -241,37 +242,37 @@
 TEST_CASE("a service that turns slow takes fewer requests, whole") {
   // Pattern: all copies of a deep service turn 5 or 12 times slower.
   for (const double slowness : {5.0, 12.0}) {
-    Chain chain(129);
+    ChainSimulation chain(129);
     chain.Run(5000);
     chain.slowness = slowness;
     chain.Run(2000);
     std::map<std::uint32_t, Count> slow = chain.Run(10'000);
-    int let_in = 0;
-    int whole = 0;
+    int admitted = 0;
+    int completed = 0;
     for (const auto& [route, count] : slow) {
-      let_in += count.let_in;
-      whole += count.whole;
+      admitted += count.admitted;
+      completed += count.completed;
     }
-    REQUIRE(whole > 0.8 * let_in);
+    REQUIRE(completed > 0.8 * admitted);
     // No kind is shut out.
     for (const auto& [route, count] : slow) {
-      REQUIRE(count.whole > 0);
+      REQUIRE(count.completed > 0);
     }
     chain.slowness = 1;
     chain.Run(3000);
-    REQUIRE(WholeShare(chain.Run(2000)[kCheck]) > 0.95);
+    REQUIRE(CompletedShare(chain.Run(2000)[kCheck]) > 0.95);
   }
 }
 
 TEST_CASE("callers that repeat at once take nothing from more valued ones") {
   // Pattern: what is refused comes back three times at once.
-  Chain chain(129);
+  ChainSimulation chain(129);
   chain.load = 1.8;
-  chain.is_stormy = true;
+  chain.has_retry_storm = true;
   chain.Run(3000);
   std::map<std::uint32_t, Count> storm = chain.Run(10'000);
-  REQUIRE(WholeShare(storm[kRelease]) > 0.95);
-  REQUIRE(storm[kCheck].whole > 0.95 * storm[kCheck].let_in);
+  REQUIRE(CompletedShare(storm[kRelease]) > 0.95);
+  REQUIRE(storm[kCheck].completed > 0.95 * storm[kCheck].admitted);
 }
 
 TEST_CASE("what one service refuses is not counted at another") {
@@ -280,21 +281,21 @@
   constexpr std::uint32_t kDownload = 17;
   ChainAdmission admission;
   for (const std::uint32_t route : {kCheck, kDownload}) {
-    LetIn(route, 2, 0, admission);
+    TryAdmitRoot(route, 2, 0, admission);
   }
-  TargetRoom deep;
+  TargetCapacity deep;
   deep.slots = 100;
   deep.work_ms = 20;
   deep.demand = {{kCheck, 8000, 20}};
-  TargetRoom archive;
+  TargetCapacity archive;
   archive.slots = 300;
   archive.work_ms = 100;
   archive.demand = {{kCheck, 2000, 140}, {kDownload, 300, 100}};
-  std::map<std::uint32_t, RootSum> roots;
+  std::map<std::uint32_t, RootTotals> roots;
   roots[kCheck] = Rates(1000, 1000);
   roots[kDownload] = Rates(300, 300);
   for (int i = 0; i < 20; ++i) {
-    UpdateShares(WithReserve(), {{"archive", {archive}}, {"deep", {deep}}},
+    UpdateShares(RulesWithReserve(), {{"archive", {archive}}, {"deep", {deep}}},
                  roots, admission);
   }
   // The deep service takes 8,000 of 12,500 calls' worth: 59 % of the checks.
@@ -310,30 +311,30 @@
   constexpr std::uint32_t kElsewhere = 17;
   for (const std::uint32_t slots : {8U, 12U, 20U, 30U, 60U}) {
     ChainAdmission admission;
-    LetIn(kCheck, 2, 0, admission);
-    LetIn(kRelease, 0, 0, admission);
-    LetIn(kLookup, 1, 0, admission);
-    LetIn(kElsewhere, 2, 0, admission);
-    std::map<std::uint32_t, RootSum> roots;
+    TryAdmitRoot(kCheck, 2, 0, admission);
+    TryAdmitRoot(kRelease, 0, 0, admission);
+    TryAdmitRoot(kLookup, 1, 0, admission);
+    TryAdmitRoot(kElsewhere, 2, 0, admission);
+    std::map<std::uint32_t, RootTotals> roots;
     roots[kCheck] = Rates(429, 429);
     roots[kRelease] = Rates(163, 163);
     roots[kLookup] = Rates(122, 122);
     roots[kElsewhere] = Rates(80, 80);
-    TargetRoom target;
+    TargetCapacity target;
     target.slots = slots;
     target.work_ms = 22;
     target.demand = {
         {kCheck, 429 * 8, 22}, {kRelease, 163 * 8, 22}, {kLookup, 122, 36}};
     for (int i = 0; i < 20; ++i) {
-      UpdateShares(WithReserve(), {{"short", {target}}}, roots, admission);
+      UpdateShares(RulesWithReserve(), {{"short", {target}}}, roots, admission);
     }
     double offered = 0;
-    double let_in = 0;
+    double admitted = 0;
     for (const auto& [route, rate] : roots) {
       offered += rate.offered_per_s;
-      let_in += rate.offered_per_s * ShareOf(route, admission);
+      admitted += rate.offered_per_s * ShareOf(route, admission);
     }
-    const double all = let_in / offered;
+    const double all = admitted / offered;
     INFO("slots " << slots << ", all " << all << ", checks "
                   << ShareOf(kCheck, admission) << ", releases "
                   << ShareOf(kRelease, admission) << ", lookups "
@@ -353,18 +354,19 @@
 
 TEST_CASE("a target that turned slow counts for less room") {
   ChainAdmission admission;
-  LetIn(kCheck, 2, 0, admission);
-  TargetRoom good;
+  TryAdmitRoot(kCheck, 2, 0, admission);
+  TargetCapacity good;
   good.slots = 100;
   good.work_ms = 20;
   good.demand = {{kCheck, 4000, 20}};
-  TargetRoom slow = good;
+  TargetCapacity slow = good;
   slow.work_ms = 240;
   slow.demand = {{kCheck, 100, 240}};
-  std::map<std::uint32_t, RootSum> roots;
+  std::map<std::uint32_t, RootTotals> roots;
   roots[kCheck] = Rates(800, 512);
   for (int i = 0; i < 20; ++i) {
-    UpdateShares(WithReserve(), {{"short", {good, slow}}}, roots, admission);
+    UpdateShares(RulesWithReserve(), {{"short", {good, slow}}}, roots,
+                 admission);
   }
   // 200 slots by name, but hardly more than the 100 of the good one.
   REQUIRE(ShareOf(kCheck, admission) < 0.8);
@@ -376,8 +378,8 @@
   // it fast, and the least valued kind was refused for half a minute.
   DemandMeter meter;
   for (int i = 0; i < 300; ++i) {
-    NoteDemand(kCheck, meter);
-    NoteWork(kCheck, Millis{0}, LatencyMs{2000}, meter);
+    RecordDemand(kCheck, meter);
+    RecordWork(kCheck, Millis{0}, LatencyMs{2000}, meter);
   }
   UpdateDemand(Millis{100}, meter);
   REQUIRE(DemandOf(meter)[0].work_ms > 1900);
@@ -385,15 +387,15 @@
   REQUIRE(DemandOf(meter)[0].work_ms == 0);
   // What is not known there is taken from the other targets.
   ChainAdmission admission;
-  LetIn(kCheck, 2, 0, admission);
-  TargetRoom good;
+  TryAdmitRoot(kCheck, 2, 0, admission);
+  TargetCapacity good;
   good.slots = 100;
   good.work_ms = 20;
   good.demand = {{kCheck, 3000, 20}};
-  TargetRoom woken;
+  TargetCapacity woken;
   woken.slots = 100;
   woken.demand = {{kCheck, 100, 0}};
-  std::map<std::uint32_t, RootSum> roots;
+  std::map<std::uint32_t, RootTotals> roots;
   roots[kCheck] = Rates(310, 310);
   for (int i = 0; i < 20; ++i) {
     UpdateShares(ChainRules(), {{"short", {good, woken}}}, roots, admission);
@@ -405,19 +407,20 @@
 
 /// Two routes of one priority at a service: a lookup of a chain that takes 60
 /// ms of its slots, and a search that takes 240. Returns their shares.
-std::pair<double, double> SharesByCost(double by_cost, std::uint32_t slots) {
+std::pair<double, double> SharesByCost(double cost_exponent,
+                                       std::uint32_t slots) {
   ChainAdmission admission;
-  LetIn(kCheck, 2, 0, admission);
-  LetIn(kSearch, 2, 0, admission);
-  std::map<std::uint32_t, RootSum> roots;
+  TryAdmitRoot(kCheck, 2, 0, admission);
+  TryAdmitRoot(kSearch, 2, 0, admission);
+  std::map<std::uint32_t, RootTotals> roots;
   roots[kCheck] = Rates(900, 900);
   roots[kSearch] = Rates(165, 165);
-  TargetRoom target;
+  TargetCapacity target;
   target.slots = slots;
   target.work_ms = 25;
   target.demand = {{kCheck, 900 * 4, 15}, {kSearch, 165, 240}};
   ChainRules rules;
-  rules.by_cost = by_cost;
+  rules.cost_exponent = cost_exponent;
   for (int i = 0; i < 20; ++i) {
     UpdateShares(rules, {{"search", {target}}}, roots, admission);
   }
@@ -446,14 +449,14 @@
 
 TEST_CASE("sharing by cost keeps the order of priorities") {
   ChainAdmission admission;
-  LetIn(kRelease, 0, 0, admission);
-  LetIn(kCheck, 2, 0, admission);
-  LetIn(kSearch, 2, 0, admission);
-  std::map<std::uint32_t, RootSum> roots;
+  TryAdmitRoot(kRelease, 0, 0, admission);
+  TryAdmitRoot(kCheck, 2, 0, admission);
+  TryAdmitRoot(kSearch, 2, 0, admission);
+  std::map<std::uint32_t, RootTotals> roots;
   roots[kRelease] = Rates(275, 275);
   roots[kCheck] = Rates(900, 900);
   roots[kSearch] = Rates(165, 165);
-  TargetRoom target;
+  TargetCapacity target;
   target.slots = 60;
   target.work_ms = 25;
   target.demand = {
@@ -472,11 +475,11 @@
   DemandMeter meter;
   for (int tick = 1; tick <= 100; ++tick) {
     for (int i = 0; i < 100; ++i) {
-      NoteDemand(kCheck, meter);
+      RecordDemand(kCheck, meter);
       if (i % 2 == 0) {
-        NoteTurnedAway(kCheck, meter);
+        RemoveRefusedDemand(kCheck, meter);
       } else {
-        NoteWork(kCheck, Millis{tick * 100}, LatencyMs{15}, meter);
+        RecordWork(kCheck, Millis{tick * 100}, LatencyMs{15}, meter);
       }
     }
     UpdateDemand(Millis{tick * 100}, meter);
@@ -493,10 +496,10 @@
   // idle. Half of the requests, then a quarter, were refused in the tenths of a
   // second after.
   ChainAdmission admission;
-  LetIn(kCheck, 2, 0, admission);
-  std::map<std::uint32_t, RootSum> roots;
+  TryAdmitRoot(kCheck, 2, 0, admission);
+  std::map<std::uint32_t, RootTotals> roots;
   roots[kCheck] = Rates(100, 100);
-  TargetRoom target;
+  TargetCapacity target;
   target.work_ms = 20;
   target.demand = {{kCheck, 100, 20}};
   UpdateShares(ChainRules(), {{"short", {target}}}, roots, admission);
--- a/libs/control/tests/chain_counts_test.cc
+++ b/libs/control/tests/chain_counts_test.cc
@@ -38,24 +38,25 @@
 
 TEST_CASE("a chain over too many services is not learned") {
   CallCounts counts;
-  for (std::uint32_t service = 1; service <= CallCounts::kMost; ++service) {
+  for (std::uint32_t service = 1; service <= CallCounts::kMaxServices;
+       ++service) {
     AddRuns({service, 1}, counts);
   }
-  REQUIRE_FALSE(counts.is_cut);
-  AddRuns({CallCounts::kMost, 1}, counts);
-  REQUIRE_FALSE(counts.is_cut);
-  AddRuns({CallCounts::kMost + 1, 1}, counts);
-  REQUIRE(counts.is_cut);
+  REQUIRE_FALSE(counts.is_truncated);
+  AddRuns({CallCounts::kMaxServices, 1}, counts);
+  REQUIRE_FALSE(counts.is_truncated);
+  AddRuns({CallCounts::kMaxServices + 1, 1}, counts);
+  REQUIRE(counts.is_truncated);
   ChainCounts chains;
-  NoteChain(kRoute, counts, chains);
+  RecordChain(kRoute, counts, chains);
   REQUIRE(chains.routes.empty());
 }
 
 TEST_CASE("the first root tells its chain, the next ones refine it") {
   ChainCounts chains;
-  NoteChain(kRoute, Counts(1, 8), chains);
+  RecordChain(kRoute, Counts(1, 8), chains);
   REQUIRE(PerRoot(chains, kShort) == Approx(8));
-  NoteChain(kRoute, Counts(1, 4), chains);
+  RecordChain(kRoute, Counts(1, 4), chains);
   REQUIRE(PerRoot(chains, kShort) == Approx(6));
   REQUIRE(PerRoot(chains, kFront) == Approx(1));
 }
@@ -63,38 +64,39 @@
 TEST_CASE("chains that end early show within a few dozen roots") {
   ChainCounts chains;
   for (int i = 0; i < 100; ++i) {
-    NoteChain(kRoute, Counts(1, 8), chains);
+    RecordChain(kRoute, Counts(1, 8), chains);
   }
   for (int i = 0; i < 40; ++i) {
-    NoteChain(kRoute, Counts(1, 2), chains);
+    RecordChain(kRoute, Counts(1, 2), chains);
   }
   REQUIRE(PerRoot(chains, kShort) == Approx(2).margin(0.3));
 }
 
 TEST_CASE("nodes that counted are averaged by their roots") {
-  std::map<std::uint32_t, RootSum> sums;
+  std::map<std::uint32_t, RootTotals> sums;
   RootRate many;
   many.route = kRoute;
   many.offered_per_s = 40;
-  many.let_in_per_s = 30;
+  many.admitted_per_s = 30;
   many.calls = {{kShort, 8}};
   RootRate few = many;
   few.offered_per_s = 10;
-  few.let_in_per_s = 10;
+  few.admitted_per_s = 10;
   few.calls = {{kShort, 4}};
-  RootRate blind = few;
-  blind.calls.clear();
-  for (const RootRate& rate : {many, few, blind}) {
-    AddRate(rate, sums);
+  RootRate uncounted = few;
+  uncounted.calls.clear();
+  for (const RootRate& rate : {many, few, uncounted}) {
+    AddRootRate(rate, sums);
   }
-  const RootSum& sum = sums.at(kRoute);
+  const RootTotals& sum = sums.at(kRoute);
   REQUIRE(sum.offered_per_s == Approx(60));
-  REQUIRE(sum.let_in_per_s == Approx(50));
-  REQUIRE(CountedPerRoot(sum, kShort).has_value());
-  REQUIRE(*CountedPerRoot(sum, kShort) == Approx((30 * 8 + 10 * 4) / 40.0));
+  REQUIRE(sum.admitted_per_s == Approx(50));
+  REQUIRE(CountedCallsPerRoot(sum, kShort).has_value());
+  REQUIRE(*CountedCallsPerRoot(sum, kShort) ==
+          Approx((30 * 8 + 10 * 4) / 40.0));
   // Who counted the chain and met no call there says that there is none.
-  REQUIRE(*CountedPerRoot(sum, kFront) == Approx(0));
-  REQUIRE_FALSE(CountedPerRoot(RootSum(), kShort).has_value());
+  REQUIRE(*CountedCallsPerRoot(sum, kFront) == Approx(0));
+  REQUIRE_FALSE(CountedCallsPerRoot(RootTotals(), kShort).has_value());
 }
 
 }  // namespace
--- a/libs/control/tests/error_share_test.cc
+++ b/libs/control/tests/error_share_test.cc
@@ -34,26 +34,26 @@
 
 /// Eight targets of which the first `erring` fail at once; returns the part of
 /// the calls that went to these. Four of ten slots are busy.
-double PartSentToErring(const PlaceRules& rules, std::size_t erring) {
-  std::vector<PlaceView> views(8);
+double PartSentToErring(const PlacementRules& rules, std::size_t erring) {
+  std::vector<PlacementTarget> views(8);
   for (std::size_t i = 0; i < views.size(); ++i) {
     views[i].is_own_zone = i % 3 == 0;
     views[i].is_open = true;
     views[i].slots = 50;
     const bool is_bad = i < erring;
-    views[i].told_load = is_bad ? 0 : 20;
+    views[i].reported_load = is_bad ? 0 : 20;
     views[i].work_ms = is_bad ? 1 : 35;
-    views[i].erring = is_bad ? 1 : 0.004;
+    views[i].error_rate = is_bad ? 1 : 0.004;
   }
   std::mt19937 random(5);
   std::uniform_real_distribution<double> draw(0, 1);
   int sent = 0;
   constexpr int kCalls = 4000;
   for (int i = 0; i < kCalls; ++i) {
-    const PlaceDraws draws{draw(random), draw(random), draw(random),
-                           draw(random)};
+    const PlacementDraws draws{draw(random), draw(random), draw(random),
+                               draw(random)};
     const std::optional<std::size_t> place =
-        ChoosePlace(rules, views, Millis{1000}, draws);
+        ChoosePlacementTarget(rules, views, Millis{1000}, draws);
     REQUIRE(place.has_value());
     sent += *place < erring ? 1 : 0;
   }
@@ -64,17 +64,17 @@
   // Pattern: one of eight targets answers every call with an error within a
   // millisecond, so it is always free. It may get less than a tenth of its
   // eighth.
-  PlaceRules rules;
-  rules.patience_ms = 75;
+  PlacementRules rules;
+  rules.acceptable_ms = 75;
   REQUIRE(PartSentToErring(rules, 1) > 0.125);
-  rules.error_ms = 300;
+  rules.error_penalty_ms = 300;
   REQUIRE(PartSentToErring(rules, 1) < 0.0125);
 }
 
 TEST_CASE("where most targets err, the load is not heaped on the others") {
-  PlaceRules rules;
-  rules.patience_ms = 75;
-  rules.error_ms = 300;
+  PlacementRules rules;
+  rules.acceptable_ms = 75;
+  rules.error_penalty_ms = 300;
   // None stands out by much then.
   REQUIRE(PartSentToErring(rules, 6) > 0.3);
 }
--- a/libs/control/tests/relay_decisions_test.cc
+++ b/libs/control/tests/relay_decisions_test.cc
@@ -11,74 +11,94 @@
 
 // ---- placement ----
 
-PlaceView Open(std::uint32_t slots, std::uint32_t load, double work_ms) {
-  PlaceView view;
-  view.is_open = true;
-  view.slots = slots;
-  view.told_load = load;
-  view.work_ms = work_ms;
-  return view;
+PlacementTarget OpenTarget(std::uint32_t slots,
+                           std::uint32_t load,
+                           double work_ms) {
+  PlacementTarget target;
+  target.is_open = true;
+  target.slots = slots;
+  target.reported_load = load;
+  target.work_ms = work_ms;
+  return target;
 }
 
 TEST_CASE("a slow target gets what the others cannot take") {
   // Pattern: one copy turns 12 times slower; the others are nearly full.
-  REQUIRE(PlaceCost(Open(40, 38, 22), 22) < PlaceCost(Open(40, 1, 264), 22));
-  REQUIRE(PlaceCost(Open(40, 200, 22), 22) > PlaceCost(Open(40, 1, 264), 22));
+  REQUIRE(ExpectedTimeMs(OpenTarget(40, 38, 22), 22) <
+          ExpectedTimeMs(OpenTarget(40, 1, 264), 22));
+  REQUIRE(ExpectedTimeMs(OpenTarget(40, 200, 22), 22) >
+          ExpectedTimeMs(OpenTarget(40, 1, 264), 22));
 }
 
 TEST_CASE("the own zone is used while another is not much faster") {
-  std::vector<PlaceView> views = {Open(40, 20, 20), Open(40, 5, 20)};
-  views[0].is_own_zone = true;
-  REQUIRE(ChoosePlace(PlaceRules(), views, Millis{0}, PlaceDraws()) == 0U);
-  views[0].told_load = 60;
-  REQUIRE(ChoosePlace(PlaceRules(), views, Millis{0}, PlaceDraws()) == 1U);
+  std::vector<PlacementTarget> targets = {OpenTarget(40, 20, 20),
+                                          OpenTarget(40, 5, 20)};
+  targets[0].is_own_zone = true;
+  REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
+                                PlacementDraws()) == 0U);
+  targets[0].reported_load = 60;
+  REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
+                                PlacementDraws()) == 1U);
 }
 
 TEST_CASE("a target that just joined is as good as the others") {
-  std::vector<PlaceView> views = {Open(40, 30, 20), Open(40, 0, 0)};
-  REQUIRE(ChoosePlace(PlaceRules(), views, Millis{0}, PlaceDraws()) == 1U);
+  std::vector<PlacementTarget> targets = {OpenTarget(40, 30, 20),
+                                          OpenTarget(40, 0, 0)};
+  REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
+                                PlacementDraws()) == 1U);
 }
 
 TEST_CASE("the own zone is used while an answer comes well within its target") {
   // Pattern: calls of 15 ms with a latency target of 300, and a target of the
   // own zone half as fast as another's. Crossing zones made the calls a few
   // milliseconds faster than anyone needs.
-  std::vector<PlaceView> views = {Open(47, 5, 30), Open(47, 5, 10)};
-  views[0].is_own_zone = true;
-  PlaceRules rules;
-  REQUIRE(ChoosePlace(rules, views, Millis{0}, PlaceDraws()) == 1U);
-  rules.patience_ms = 99;
-  REQUIRE(ChoosePlace(rules, views, Millis{0}, PlaceDraws()) == 0U);
+  std::vector<PlacementTarget> targets = {OpenTarget(47, 5, 30),
+                                          OpenTarget(47, 5, 10)};
+  targets[0].is_own_zone = true;
+  PlacementRules rules;
+  REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
+          1U);
+  rules.acceptable_ms = 99;
+  REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
+          0U);
   // Not when it is full, and not where its time matters.
-  views[0].told_load = 100;
-  REQUIRE(ChoosePlace(rules, views, Millis{0}, PlaceDraws()) == 1U);
-  views[0].told_load = 5;
-  rules.patience_ms = 20;
-  REQUIRE(ChoosePlace(rules, views, Millis{0}, PlaceDraws()) == 1U);
+  targets[0].reported_load = 100;
+  REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
+          1U);
+  targets[0].reported_load = 5;
+  rules.acceptable_ms = 20;
+  REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
+          1U);
 }
 
 TEST_CASE(
     "within that time load is spread, and one that joined gets its part") {
   // Pattern: a target that just joined is slower for some seconds than the
   // other of its zone. By time alone it got nothing while load was light.
-  std::vector<PlaceView> views = {Open(31, 2, 40), Open(31, 0, 80)};
-  views[0].is_own_zone = true;
-  views[1].is_own_zone = true;
-  PlaceRules rules;
-  REQUIRE(ChoosePlace(rules, views, Millis{0}, PlaceDraws()) == 0U);
-  rules.patience_ms = 99;
-  REQUIRE(ChoosePlace(rules, views, Millis{0}, PlaceDraws()) == 1U);
+  std::vector<PlacementTarget> targets = {OpenTarget(31, 2, 40),
+                                          OpenTarget(31, 0, 80)};
+  targets[0].is_own_zone = true;
+  targets[1].is_own_zone = true;
+  PlacementRules rules;
+  REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
+          0U);
+  rules.acceptable_ms = 99;
+  REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
+          1U);
 }
 
 TEST_CASE("a target that fails part of its requests counts as slower") {
   // Pattern: two of three targets lose two fifths of their answers; five
   // failures in a row are rare, so neither is set aside.
-  std::vector<PlaceView> views = {Open(47, 20, 15), Open(47, 20, 15)};
-  views[0].health.failing = 0.4;
-  REQUIRE(ChoosePlace(PlaceRules(), views, Millis{0}, PlaceDraws()) == 1U);
+  std::vector<PlacementTarget> targets = {OpenTarget(47, 20, 15),
+                                          OpenTarget(47, 20, 15)};
+  targets[0].health.failing = 0.4;
+  REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
+                                PlacementDraws()) == 1U);
   // It still takes what the other cannot.
-  views[1].told_load = 100;
-  REQUIRE(ChoosePlace(PlaceRules(), views, Millis{0}, PlaceDraws()) == 0U);
+  targets[1].reported_load = 100;
+  REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
+                                PlacementDraws()) == 0U);
 }
 
 TEST_CASE("where all targets fail alike none is set aside") {
@@ -98,11 +118,13 @@
 }
 
 TEST_CASE("neither closed nor tried targets are chosen") {
-  std::vector<PlaceView> views = {Open(40, 0, 20), Open(40, 0, 20)};
-  views[0].is_open = false;
-  views[1].is_tried = true;
-  REQUIRE_FALSE(
-      ChoosePlace(PlaceRules(), views, Millis{0}, PlaceDraws()).has_value());
+  std::vector<PlacementTarget> targets = {OpenTarget(40, 0, 20),
+                                          OpenTarget(40, 0, 20)};
+  targets[0].is_open = false;
+  targets[1].is_tried = true;
+  REQUIRE_FALSE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
+                                      PlacementDraws())
+                    .has_value());
 }
 
 // ---- allowance of repeats ----
@@ -159,7 +181,7 @@
   RepeatRules rules;
   RepeatAllowance allowance;
   constexpr int kCalls = 5;
-  std::map<std::uint32_t, std::pair<int, int>> whole;
+  std::map<std::uint32_t, std::pair<int, int>> counts;
   std::mt19937_64 random(3);
   std::uniform_real_distribution<double> draw(0, 1);
   for (int i = 0; i < 20'000; ++i) {
@@ -167,18 +189,19 @@
     const Millis now{1000 + i * 10};
     const std::uint32_t priority = static_cast<std::uint32_t>(i) % 3;
     const double place = RepeatPlace({priority, kCalls, 0, random()});
-    bool is_whole = true;
-    for (int call = 0; call < kCalls && is_whole; ++call) {
+    bool is_complete = true;
+    for (int call = 0; call < kCalls && is_complete; ++call) {
       NoteRequest(rules, now, allowance);
-      is_whole =
+      is_complete =
           draw(random) < 0.5 ||
           (TakeRepeat(rules, place, now, allowance) && draw(random) < 0.5);
     }
-    ++whole[priority].first;
-    whole[priority].second += is_whole ? 1 : 0;
+    ++counts[priority].first;
+    counts[priority].second += is_complete ? 1 : 0;
   }
-  const auto share = [&whole](std::uint32_t priority) {
-    return static_cast<double>(whole[priority].second) / whole[priority].first;
+  const auto share = [&counts](std::uint32_t priority) {
+    return static_cast<double>(counts[priority].second) /
+           counts[priority].first;
   };
   // All calls sent again at most once: 0.75 to the fifth, 0.24. None: 0.03.
   REQUIRE(share(0) > 0.1);
@@ -282,21 +305,26 @@
 }
 
 TEST_CASE("a request waits for a target only while one is expected") {
-  const Millis aim{1000};
+  const Millis latency_target{1000};
   const Millis left{4000};
   // Found on the days that end with all hosts losing power: in the second and a
   // half until all targets had reported themselves, calls of roots that were
   // let in were refused, and the roots failed.
   const Millis report{3000};
-  REQUIRE(WaitForTarget(report, Millis{100}, false, aim, left) == Millis{2900});
-  REQUIRE(WaitForTarget(report, Millis{100}, true, aim, left) == Millis{500});
-  REQUIRE(WaitForTarget(report, Millis{2800}, true, aim, left) == Millis{200});
-  REQUIRE(WaitForTarget(report, Millis{3000}, false, aim, left) == Millis{0});
-  REQUIRE(WaitForTarget(report, Millis{60'000}, true, aim, left) == Millis{0});
-  REQUIRE(WaitForTarget(report, Millis{100}, false, aim, Millis{200}) ==
-          Millis{170});
-  REQUIRE(WaitForTarget(report, Millis{100}, false, aim, Millis{10}) ==
+  REQUIRE(MaxWaitForTarget(report, Millis{100}, false, latency_target, left) ==
+          Millis{2900});
+  REQUIRE(MaxWaitForTarget(report, Millis{100}, true, latency_target, left) ==
+          Millis{500});
+  REQUIRE(MaxWaitForTarget(report, Millis{2800}, true, latency_target, left) ==
+          Millis{200});
+  REQUIRE(MaxWaitForTarget(report, Millis{3000}, false, latency_target, left) ==
           Millis{0});
+  REQUIRE(MaxWaitForTarget(report, Millis{60'000}, true, latency_target,
+                           left) == Millis{0});
+  REQUIRE(MaxWaitForTarget(report, Millis{100}, false, latency_target,
+                           Millis{200}) == Millis{170});
+  REQUIRE(MaxWaitForTarget(report, Millis{100}, false, latency_target,
+                           Millis{10}) == Millis{0});
 }
 
 }  // namespace
--- a/libs/control/tests/retry_test.cc
+++ b/libs/control/tests/retry_test.cc
@@ -87,13 +87,13 @@
   WorkTable table(4, 12345);
   const std::optional<SpanId> first = table.Begin(WorkContext{}, 4);
   REQUIRE(table.Lend(*first) == 2);
-  REQUIRE(table.End(*first).grant_back == 2);
+  REQUIRE(table.End(*first).unspent_grant == 2);
   for (int i = 0; i < 8; ++i) {
     const std::optional<SpanId> next = table.Begin(WorkContext{}, 1);
     table.GiveBack(*first, 2);
     REQUIRE_FALSE(table.TakeRetry(*first));
     REQUIRE_FALSE(table.Find(*first).has_value());
-    REQUIRE(table.End(*next).grant_back == 1);
+    REQUIRE(table.End(*next).unspent_grant == 1);
   }
 }
 
@@ -110,11 +110,11 @@
   WorkTable table(8, 1);
   const std::optional<SpanId> span = table.Begin(WorkContext{}, 1);
   REQUIRE_FALSE(table.IsRepeat(*span, 77));
-  table.NoteFailure(*span, 77);
+  table.RecordFailure(*span, 77);
   REQUIRE(table.IsRepeat(*span, 77));
   REQUIRE_FALSE(table.IsRepeat(*span, 78));
   for (std::uint64_t hash = 100; hash < 110; ++hash) {
-    table.NoteFailure(*span, hash);
+    table.RecordFailure(*span, hash);
   }
   // The memory is full: everything counts as a repeat.
   REQUIRE(table.IsRepeat(*span, 4711));
--- a/libs/control/tests/routing_test.cc
+++ b/libs/control/tests/routing_test.cc
@@ -8,7 +8,7 @@
 namespace almondlink::control {
 namespace {
 
-std::vector<TargetView> Six() {
+std::vector<TargetView> SixTargets() {
   std::vector<TargetView> views(6);
   for (std::size_t i = 0; i < views.size(); ++i) {
     views[i].is_own_zone = i < 2;
@@ -19,7 +19,7 @@
 }
 
 /// Share of choices that fall on the own zone.
-double OwnShare(const std::vector<TargetView>& views, Millis now) {
+double OwnZoneShare(const std::vector<TargetView>& views, Millis now) {
   std::mt19937_64 random(7);
   std::uniform_real_distribution<double> draw(0, 1);
   int own = 0;
@@ -33,31 +33,31 @@
 }
 
 TEST_CASE("the own zone is preferred until it costs goodput") {
-  std::vector<TargetView> views = Six();
-  REQUIRE(OwnShare(views, Millis{5000}) == 1.0);
+  std::vector<TargetView> views = SixTargets();
+  REQUIRE(OwnZoneShare(views, Millis{5000}) == 1.0);
   views[0].utilization = 1000;
   views[1].utilization = 1000;
   views[0].in_flight = 10;
   views[1].in_flight = 10;
-  REQUIRE(OwnShare(views, Millis{5000}) == 0.0);
+  REQUIRE(OwnZoneShare(views, Millis{5000}) == 0.0);
 }
 
 TEST_CASE("a lost zone is left and draining targets get nothing") {
-  std::vector<TargetView> views = Six();
+  std::vector<TargetView> views = SixTargets();
   views[0].is_draining = true;
   views[1].is_suspect = true;
-  REQUIRE(OwnShare(views, Millis{5000}) == 0.0);
+  REQUIRE(OwnZoneShare(views, Millis{5000}) == 0.0);
   for (TargetView& view : views) {
     view.is_draining = true;
   }
   const RouteChoice choice =
       ChooseTarget(views, Millis{5000}, ShedRank(1), RoutingDraws{});
   REQUIRE_FALSE(choice.index.has_value());
-  REQUIRE(choice.none.kind == ErrorKind::kNoTarget);
+  REQUIRE(choice.no_route.kind == ErrorKind::kNoTarget);
 }
 
 TEST_CASE("suspects are used when nothing else is left") {
-  std::vector<TargetView> views = Six();
+  std::vector<TargetView> views = SixTargets();
   for (TargetView& view : views) {
     view.is_suspect = true;
   }
@@ -66,15 +66,15 @@
 }
 
 TEST_CASE("a rank that every target sheds is refused at entry") {
-  std::vector<TargetView> views = Six();
+  std::vector<TargetView> views = SixTargets();
   for (TargetView& view : views) {
     view.level = 600;
-    view.level_time = Millis{5000};
+    view.level_received_at = Millis{5000};
   }
   const RouteChoice shed =
       ChooseTarget(views, Millis{5000}, ShedRank(900), RoutingDraws{});
-  REQUIRE(shed.none.kind == ErrorKind::kOverloaded);
-  REQUIRE(shed.none.level == 600);
+  REQUIRE(shed.no_route.kind == ErrorKind::kOverloaded);
+  REQUIRE(shed.no_route.level == 600);
   REQUIRE(ChooseTarget(views, Millis{5000}, ShedRank(100), RoutingDraws{})
               .index.has_value());
   // A level that nobody renews is forgotten.
@@ -84,11 +84,11 @@
 
 TEST_CASE("an outlier is set aside, tried by one request, and taken back") {
   TargetHealth health;
-  bool is_aside = false;
+  bool is_ejected = false;
   for (int i = 0; i < 5; ++i) {
-    is_aside = NoteHealth(HealthRules(), Millis{100}, true, 0, health);
+    is_ejected = NoteHealth(HealthRules(), Millis{100}, true, 0, health);
   }
-  REQUIRE(is_aside);
+  REQUIRE(is_ejected);
   REQUIRE_FALSE(MayUse(Millis{200}, health));
   REQUIRE(MayUse(Millis{700}, health));
   NoteSent(Millis{700}, health);
@@ -113,22 +113,22 @@
 }
 
 TEST_CASE("when most targets fail none is set aside") {
-  std::vector<TargetView> views = Six();
+  std::vector<TargetView> views = SixTargets();
   for (std::size_t i = 0; i < 4; ++i) {
     views[i].health.state = HealthState::kSetAside;
     views[i].health.until = Millis{9000};
   }
-  REQUIRE(OwnShare(views, Millis{5000}) == 1.0);
+  REQUIRE(OwnZoneShare(views, Millis{5000}) == 1.0);
 }
 
 TEST_CASE("pressure deeper in the chain sheds the same ranks at entry") {
   DownstreamLevel downstream;
-  NoteDownstreamLevel(Millis{0}, 512, downstream);
+  RecordDownstreamLevel(Millis{0}, 512, downstream);
   REQUIRE(IsShedDownstream(Millis{0}, ShedRank(600), downstream));
   REQUIRE_FALSE(IsShedDownstream(Millis{0}, ShedRank(500), downstream));
   // It falls while nobody renews it.
   REQUIRE_FALSE(IsShedDownstream(Millis{500}, ShedRank(600), downstream));
-  REQUIRE_FALSE(IsShedDownstream(kLevelLife, ShedRank(1023), downstream));
+  REQUIRE_FALSE(IsShedDownstream(kLevelLifetime, ShedRank(1023), downstream));
 }
 
 }  // namespace
--- a/libs/control/tests/weighted_turns_test.cc
+++ b/libs/control/tests/weighted_round_robin_test.cc
@@ -1,4 +1,4 @@
-#include "almondlink/control/weighted_turns.h"
+#include "almondlink/control/weighted_round_robin.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -16,11 +16,11 @@
 
 TEST_CASE("each part has its share of any span of turns on one node") {
   std::mt19937 random(1);
-  WeightedTurns turns;
+  WeightedRoundRobin turns;
   std::vector<std::size_t> taken;
   taken.reserve(1000);
   for (int i = 0; i < 1000; ++i) {
-    taken.push_back(TakeTurn({0.75, 0.25}, Draws(random), turns));
+    taken.push_back(NextPart({0.75, 0.25}, Draws(random), turns));
   }
   for (std::size_t first = 0; first < 900; first += 7) {
     const auto begin = taken.begin() + static_cast<std::ptrdiff_t>(first);
@@ -37,12 +37,12 @@
   int first_part = 0;
   int all = 0;
   for (std::size_t node = 0; node < per_node.size(); ++node) {
-    WeightedTurns turns;
+    WeightedRoundRobin turns;
     for (int i = 0; i < per_node[node]; ++i) {
       if (node % 3 == 0 && i == per_node[node] / 2) {
-        turns = WeightedTurns();
+        turns = WeightedRoundRobin();
       }
-      first_part += TakeTurn({0.75, 0.25}, Draws(random), turns) == 0 ? 1 : 0;
+      first_part += NextPart({0.75, 0.25}, Draws(random), turns) == 0 ? 1 : 0;
       ++all;
     }
   }
@@ -52,33 +52,33 @@
 
 TEST_CASE("new weights hold from the next turn on") {
   std::mt19937 random(2);
-  WeightedTurns turns;
+  WeightedRoundRobin turns;
   for (int i = 0; i < 50; ++i) {
-    TakeTurn({0.9, 0.1}, Draws(random), turns);
+    NextPart({0.9, 0.1}, Draws(random), turns);
   }
   int first_part = 0;
   for (int i = 0; i < 100; ++i) {
-    first_part += TakeTurn({0.2, 0.8}, Draws(random), turns) == 0 ? 1 : 0;
+    first_part += NextPart({0.2, 0.8}, Draws(random), turns) == 0 ? 1 : 0;
   }
   REQUIRE(std::abs(first_part - 20) <= 2);
 }
 
 TEST_CASE("a part of weight nothing gets nothing") {
   std::mt19937 random(3);
-  WeightedTurns turns;
+  WeightedRoundRobin turns;
   for (int i = 0; i < 100; ++i) {
-    REQUIRE(TakeTurn({0, 1}, Draws(random), turns) == 1);
+    REQUIRE(NextPart({0, 1}, Draws(random), turns) == 1);
   }
 }
 
 TEST_CASE("a part that is added takes its turns") {
   std::mt19937 random(4);
-  WeightedTurns turns;
-  TakeTurn({0.5, 0.5}, Draws(random), turns);
+  WeightedRoundRobin turns;
+  NextPart({0.5, 0.5}, Draws(random), turns);
   std::vector<int> taken(3);
   const std::vector<double> draws = {0.1, 0.2, 0.3};
   for (int i = 0; i < 90; ++i) {
-    ++taken[TakeTurn({1, 1, 1}, draws, turns)];
+    ++taken[NextPart({1, 1, 1}, draws, turns)];
   }
   REQUIRE(taken == std::vector<int>{30, 30, 30});
 }
--- a/libs/model/include/almondlink/model/relay_rules.h
+++ b/libs/model/include/almondlink/model/relay_rules.h
@@ -15,7 +15,7 @@
 
 struct RelayRules {
   control::ChainRules admission;
-  control::PlaceRules placement;
+  control::PlacementRules placement;
   control::HealthRules health;
   control::RepeatRules repeats;
   /// Sends of one request; targets that refused it may be asked again.
--- a/libs/model/src/almondlink_path.cc
+++ b/libs/model/src/almondlink_path.cc
@@ -133,8 +133,9 @@
   const control::RouteChoice choice = control::ChooseTarget(
       views, this->world.clock.NowMillis(), call->rank, draws);
   if (!choice.index.has_value()) {
-    this->Finish(call, CallResult{false, choice.none.kind, choice.none.level,
-                                  control::RetryAfter(choice.none.level)});
+    this->Finish(call,
+                 CallResult{false, choice.no_route.kind, choice.no_route.level,
+                            control::RetryAfter(choice.no_route.level)});
     return;
   }
   this->SendTo(call, *choice.index);
@@ -202,12 +203,12 @@
                             answer.kind != ErrorKind::kPeerUnreachable;
   if (is_from_node) {
     view.level = answer.level;
-    view.level_time = now;
+    view.level_received_at = now;
     view.utilization = answer.utilization;
   }
   if (answer.is_whole) {
-    control::NoteLatency(LatencyMs{this->world.clock.Now() - call->sent_ms},
-                         view);
+    control::RecordLatency(LatencyMs{this->world.clock.Now() - call->sent_ms},
+                           view);
   }
 }
 
@@ -219,7 +220,7 @@
   }
   this->Learn(call, answer);
   control::GiveBack(call->Grant(), call->lent, answer.grant_back);
-  control::NoteDownstreamLevel(
+  control::RecordDownstreamLevel(
       this->world.clock.NowMillis(), answer.downstream,
       this->nodes[call->spec.entry]->downstream[call->spec.operation]);
   const bool is_own_failure = answer.kind == ErrorKind::kNone &&
@@ -293,7 +294,7 @@
     const OutCallPointer cancelled = waiting->second.first;
     const bool is_keyed =
         !this->world.operations[cancelled->spec.operation].spec->is_repeatable;
-    if (control::Withdraw(ticket, node.admission)) {
+    if (control::CancelWaiting(ticket, node.admission)) {
       node.calls.erase(waiting);
       return;
     }
@@ -303,9 +304,9 @@
       node.work.erase(running);
       node.calls.erase(waiting);
       this->world.CancelWork(work);
-      this->Apply(target,
-                  control::Release(node.rules, this->world.clock.NowMillis(),
-                                   node.admission));
+      this->Apply(target, control::ReleaseSlot(node.rules,
+                                               this->world.clock.NowMillis(),
+                                               node.admission));
     }
   });
 }
--- a/libs/model/src/almondlink_target.cc
+++ b/libs/model/src/almondlink_target.cc
@@ -58,7 +58,8 @@
   request.criticality = call->spec.root->criticality;
   request.depth = static_cast<std::uint32_t>(call->spec.depth);
   request.deadline = Millis{static_cast<std::int64_t>(call->deadline_ms)};
-  this->Apply(target, control::Offer(node.rules, this->world.clock.NowMillis(),
+  this->Apply(target,
+              control::SubmitRequest(node.rules, this->world.clock.NowMillis(),
                                      request, node.admission));
   if (!node.is_ticking && !node.admission.queue.empty()) {
     node.is_ticking = true;
@@ -68,8 +69,9 @@
 
 void AlmondlinkPath::Tick(std::size_t target) {
   Node& node = *this->nodes[target];
-  this->Apply(target, control::Tick(node.rules, this->world.clock.NowMillis(),
-                                    node.admission));
+  this->Apply(target,
+              control::RefuseExpired(node.rules, this->world.clock.NowMillis(),
+                                     node.admission));
   node.is_ticking = !node.admission.queue.empty();
   if (node.is_ticking) {
     this->world.clock.After(kTickMs, [this, target]() { this->Tick(target); });
@@ -142,7 +144,7 @@
   answer.grant_back = work->grant.available;
   answer.downstream = is_whole ? 0 : work->downstream;
   answer.is_call_failed = !is_whole && work->is_call_failed;
-  const control::AdmissionStep step = control::Complete(
+  const control::AdmissionStep step = control::CompleteRequest(
       node.rules, this->world.clock.NowMillis(), LatencyMs{took},
       control::Outcome::kSuccess, node.admission);
   this->Reply(target, ticket, answer);
--- a/libs/model/src/relay_path.cc
+++ b/libs/model/src/relay_path.cc
@@ -64,7 +64,7 @@
   std::uint32_t life = 0;
   control::DemandMeter meter;
   // As entry node: what is known of the targets of each service.
-  std::vector<std::vector<control::PlaceView>> views;
+  std::vector<std::vector<control::PlacementTarget>> views;
 };
 
 struct RelayPath::Handle : CallHandle {
@@ -80,7 +80,7 @@
   for (const Instance& instance : world.instances) {
     auto node = std::make_unique<Node>();
     for (const std::vector<std::size_t>& targets : world.by_service) {
-      std::vector<control::PlaceView> views(targets.size());
+      std::vector<control::PlacementTarget> views(targets.size());
       for (std::size_t i = 0; i < targets.size(); ++i) {
         views[i].is_own_zone =
             world.instances[targets[i]].zone == instance.zone;
@@ -137,9 +137,9 @@
 bool RelayPath::AdmitRoot(const OutCallPointer& call) {
   RootRequest& root = *call->spec.root;
   root.ran = control::CallCounts();
-  if (control::LetIn(this->RouteOf(root),
-                     static_cast<std::uint32_t>(root.criticality),
-                     this->world.Draw(), this->admission)) {
+  if (control::TryAdmitRoot(this->RouteOf(root),
+                            static_cast<std::uint32_t>(root.criticality),
+                            this->world.Draw(), this->admission)) {
     return true;
   }
   this->Finish(call, CallResult{false, ErrorKind::kOverloaded});
@@ -149,7 +149,7 @@
 void RelayPath::Attempt(const OutCallPointer& call) {
   const OperationInfo& info = this->world.operations[call->spec.operation];
   Node& node = *this->nodes[call->spec.entry];
-  std::vector<control::PlaceView>& views = node.views[info.service];
+  std::vector<control::PlacementTarget>& views = node.views[info.service];
   const bool is_again = call->tried.size() >= kAttempts;
   const std::vector<std::size_t>& named =
       is_again ? call->refused_by : call->tried;
@@ -158,11 +158,11 @@
         std::find(named.begin(), named.end(), i) != named.end();
     views[i].is_tried = is_named != is_again;
   }
-  const control::PlaceDraws draws{this->world.Draw(), this->world.Draw(),
-                                  this->world.Draw(), this->world.Draw()};
-  const std::optional<std::size_t> place =
-      control::ChoosePlace(this->world.scenario.rules.placement, views,
-                           this->world.clock.NowMillis(), draws);
+  const control::PlacementDraws draws{this->world.Draw(), this->world.Draw(),
+                                      this->world.Draw(), this->world.Draw()};
+  const std::optional<std::size_t> place = control::ChoosePlacementTarget(
+      this->world.scenario.rules.placement, views,
+      this->world.clock.NowMillis(), draws);
   if (!place.has_value()) {
     this->Finish(
         call, CallResult{false, call->may_have_run ? ErrorKind::kTargetTimeout
@@ -203,7 +203,7 @@
 
 void RelayPath::Arrive(const OutCallPointer& call, std::size_t target) {
   Node& node = *this->nodes[target];
-  control::NoteDemand(this->RouteOf(*call->spec.root), node.meter);
+  control::RecordDemand(this->RouteOf(*call->spec.root), node.meter);
   call->arrival = ++this->arrivals;
   call->is_waiting = true;
   node.queue.emplace(Node::Order{static_cast<int>(call->spec.root->criticality),
@@ -250,16 +250,17 @@
     }
     --beside.running;
     if (call->work->was_refused) {
-      control::NoteTurnedAway(this->RouteOf(*call->spec.root), beside.meter);
+      control::RemoveRefusedDemand(this->RouteOf(*call->spec.root),
+                                   beside.meter);
       this->Reply(call, attempt, AttemptEnd::kRefusedByTarget);
       return;
     }
     control::AddRuns({KeyOf(this->world.instances[target].service), 1},
                      call->spec.root->ran);
     const double took = this->world.clock.Now() - call->dispatched_ms;
-    control::NoteWork(this->RouteOf(*call->spec.root),
-                      this->world.clock.NowMillis(), LatencyMs{took},
-                      beside.meter);
+    control::RecordWork(this->RouteOf(*call->spec.root),
+                        this->world.clock.NowMillis(), LatencyMs{took},
+                        beside.meter);
     this->Reply(call, attempt,
                 is_whole ? AttemptEnd::kWhole : AttemptEnd::kFailed);
     this->Fill(target);
@@ -277,9 +278,9 @@
       [this, call, attempt, end, load]() {
         const std::size_t service =
             this->world.operations[call->spec.operation].service;
-        control::PlaceView& view =
+        control::PlacementTarget& view =
             this->nodes[call->spec.entry]->views[service][call->place];
-        view.told_load = load;
+        view.reported_load = load;
         view.sent_since = 0;
         this->OnEnd(call, attempt, end);
       });
@@ -290,7 +291,7 @@
     return;
   }
   const OperationInfo& info = this->world.operations[call->spec.operation];
-  control::PlaceView& view =
+  control::PlacementTarget& view =
       this->nodes[call->spec.entry]->views[info.service][call->place];
   const bool is_fault =
       end == AttemptEnd::kLost || end == AttemptEnd::kRefusedByTarget;
@@ -348,7 +349,7 @@
   call->is_over = true;
   const RootRequest& root = *call->spec.root;
   if (call->spec.parent == nullptr) {
-    control::NoteChain(this->RouteOf(root), root.ran, this->admission.chains);
+    control::RecordChain(this->RouteOf(root), root.ran, this->admission.chains);
   }
   call->done(result);
 }
@@ -380,7 +381,7 @@
 /// What the nodes tell each other, and the shares worked out anew.
 void RelayPath::Tick() {
   const Millis now = this->world.clock.NowMillis();
-  std::vector<control::ServiceRoom> services(this->world.by_service.size());
+  std::vector<control::ServiceCapacity> services(this->world.by_service.size());
   for (std::size_t service = 0; service < services.size(); ++service) {
     services[service].service = this->world.scenario.services[service].name;
     services[service].key = KeyOf(service);
@@ -397,15 +398,15 @@
         node.queue.clear();
         node.meter = control::DemandMeter();
       }
-      control::TargetRoom target;
+      control::TargetCapacity target;
       target.slots = is_lost ? 0 : this->SlotsOf(targets[place]);
       target.waiting = static_cast<std::uint32_t>(node.queue.size());
       target.work_ms = control::MeanWorkMs(node.meter);
       target.demand = control::DemandOf(node.meter);
       for (const std::unique_ptr<Node>& entry : this->nodes) {
-        control::PlaceView& view = entry->views[service][place];
+        control::PlacementTarget& view = entry->views[service][place];
         view.is_open = !is_lost;
-        view.told_load = node.running + target.waiting;
+        view.reported_load = node.running + target.waiting;
         view.sent_since = 0;
         view.work_ms = target.work_ms;
       }
@@ -414,9 +415,10 @@
     }
   }
   control::UpdateRootRates(now, this->admission);
-  std::map<std::uint32_t, control::RootSum> roots;
-  for (const control::RootRate& rate : control::OwnRates(this->admission)) {
-    control::AddRate(rate, roots);
+  std::map<std::uint32_t, control::RootTotals> roots;
+  for (const control::RootRate& rate :
+       control::LocalRootRates(this->admission)) {
+    control::AddRootRate(rate, roots);
   }
   control::UpdateShares(this->world.scenario.rules.admission, services, roots,
                         this->admission);
--- a/libs/relay/include/almondlink/relay/entry_calls.h
+++ b/libs/relay/include/almondlink/relay/entry_calls.h
@@ -14,7 +14,7 @@
 
 #include "almondlink/control/chain_admission.h"
 #include "almondlink/control/repeat_allowance.h"
-#include "almondlink/control/weighted_turns.h"
+#include "almondlink/control/weighted_round_robin.h"
 #include "almondlink/policy/route_table.h"
 #include "almondlink/relay/blame_exchange.h"
 #include "almondlink/relay/caller_port.h"
@@ -215,7 +215,7 @@
   std::map<std::string, std::uint64_t> repeats_denied;
   std::map<std::string, std::uint64_t> refused_for;
   /// Running sums of the weighted choice, by route.
-  std::unordered_map<std::uint32_t, control::WeightedTurns> part_turns;
+  std::unordered_map<std::uint32_t, control::WeightedRoundRobin> part_turns;
   std::unordered_map<std::uint32_t, CallPointer> calls;
   std::set<std::pair<std::int64_t, std::uint32_t>> ends;
   /// Shares as the log last told them.
--- a/libs/relay/include/almondlink/relay/relay_settings.h
+++ b/libs/relay/include/almondlink/relay/relay_settings.h
@@ -23,7 +23,7 @@
 /// How a relay decides; docs/SETTINGS.md, [decisions].
 struct DecisionRules {
   control::ChainRules admission;
-  control::PlaceRules placement;
+  control::PlacementRules placement;
   control::HealthRules health;
   /// Part of a target's slots that is used.
   double usable_slots = 0.94;
--- a/libs/relay/src/entry_admission.cc
+++ b/libs/relay/src/entry_admission.cc
@@ -26,8 +26,8 @@
   this->NameClass(
       call->info.root_route, *call->route,
       call->account == nullptr ? std::nullopt : call->account->priority);
-  if (control::LetIn(call->info.root_route, call->info.priority, this->Draw(),
-                     this->admission)) {
+  if (control::TryAdmitRoot(call->info.root_route, call->info.priority,
+                            this->Draw(), this->admission)) {
     return true;
   }
   const Millis wait = this->RetryAfter(*call);
@@ -47,7 +47,7 @@
   const auto bound = this->admission.routes.find(call->info.root_route);
   ++this->refused_for[bound == this->admission.routes.end()
                           ? std::string()
-                          : bound->second.bound_by];
+                          : bound->second.limiting_service];
   call->is_refused_at_entry = true;
   if (call->id != 0) {
     this->Finish(call);
@@ -57,11 +57,12 @@
 }
 
 bool EntryCalls::IsShort(const std::string& service) const {
-  return std::any_of(
-      this->admission.routes.begin(), this->admission.routes.end(),
-      [&service](const auto& route) {
-        return route.second.share < 1 && route.second.bound_by == service;
-      });
+  return std::any_of(this->admission.routes.begin(),
+                     this->admission.routes.end(),
+                     [&service](const auto& route) {
+                       return route.second.share < 1 &&
+                              route.second.limiting_service == service;
+                     });
 }
 
 /// When a refused caller should come back: early enough that an answer then is
@@ -83,22 +84,22 @@
   control::UpdateRootRates(now, this->admission);
   const DecisionRules& rules = this->settings.decisions;
   const bool counts_errors = rules.error_targets > 0;
-  std::map<std::string, control::ServiceRoom> rooms;
-  std::map<std::uint32_t, control::RootSum> roots;
+  std::map<std::string, control::ServiceCapacity> rooms;
+  std::map<std::uint32_t, control::RootTotals> roots;
   for (const PeerPointer& peer : this->peers.All()) {
     if (!peer->IsReachable()) {
       continue;
     }
     const StateFrame& told = peer->told;
     const std::vector<control::RootRate> rates =
-        peer->is_self ? control::OwnRates(this->admission) : told.roots;
+        peer->is_self ? control::LocalRootRates(this->admission) : told.roots;
     for (const control::RootRate& rate : rates) {
-      control::AddRate(rate, roots);
+      control::AddRootRate(rate, roots);
     }
     if (told.instance.empty()) {
       continue;
     }
-    control::TargetRoom target;
+    control::TargetCapacity target;
     const bool is_open =
         told.state == InstanceState::kReady && !told.is_stopping;
     target.slots = is_open ? told.slots : 0;
@@ -107,14 +108,14 @@
     }
     target.waiting = told.waiting;
     target.work_ms = told.work_ms;
-    target.erring = counts_errors ? told.erring : 0;
+    target.error_rate = counts_errors ? told.erring : 0;
     target.demand = told.demand;
-    control::ServiceRoom& room = rooms[told.service];
+    control::ServiceCapacity& room = rooms[told.service];
     room.service = told.service;
     room.key = ServiceKeyOf(told.service);
     room.targets.push_back(std::move(target));
   }
-  std::vector<control::ServiceRoom> services;
+  std::vector<control::ServiceCapacity> services;
   services.reserve(rooms.size());
   for (auto& [service, room] : rooms) {
     services.push_back(std::move(room));
@@ -132,7 +133,7 @@
       LogEvent(kEventShareChanged,
                {{"route", this->RouteName(route)},
                 {"share", std::to_string(state.share)},
-                {"bound_by", state.bound_by},
+                {"bound_by", state.limiting_service},
                 {"offered_per_s", std::to_string(state.offered.per_s)}});
     }
   }
--- a/libs/relay/src/entry_attempts.cc
+++ b/libs/relay/src/entry_attempts.cc
@@ -51,10 +51,10 @@
 
 PeerPointer EntryCalls::ChoosePeer(const Call& call, bool is_among_refused) {
   const std::vector<PeerPointer>& members = this->peers.Of(call.service);
-  std::vector<control::PlaceView> views;
+  std::vector<control::PlacementTarget> views;
   views.reserve(members.size());
   for (const PeerPointer& peer : members) {
-    control::PlaceView view;
+    control::PlacementTarget view;
     view.is_own_zone = peer->told.zone == this->settings.zone.Value();
     view.is_open = IsOpen(*peer);
     const std::vector<std::string>& names =
@@ -63,30 +63,31 @@
         std::find(names.begin(), names.end(), peer->node.name) != names.end();
     view.is_tried = is_named != is_among_refused;
     view.slots = std::max(1U, peer->told.slots);
-    view.told_load = peer->told.running + peer->told.waiting;
+    view.reported_load = peer->told.running + peer->told.waiting;
     view.sent_since = peer->sent_since;
     view.work_ms = peer->told.work_ms;
     view.health = peer->health;
-    view.erring = peer->told.erring;
+    view.error_rate = peer->told.erring;
     views.push_back(view);
   }
-  const control::PlaceDraws draws{this->Draw(), this->Draw(), this->Draw(),
-                                  this->Draw()};
+  const control::PlacementDraws draws{this->Draw(), this->Draw(), this->Draw(),
+                                      this->Draw()};
   const Millis now = BootTimeNow();
-  control::PlaceRules rules = this->settings.decisions.placement;
+  control::PlacementRules rules = this->settings.decisions.placement;
   const auto latency_target =
       static_cast<double>(call.route->latency_target.count);
-  rules.patience_ms = this->settings.decisions.zone_patience * latency_target;
-  rules.error_ms = this->settings.decisions.error_targets * latency_target;
+  rules.acceptable_ms = this->settings.decisions.zone_patience * latency_target;
+  rules.error_penalty_ms =
+      this->settings.decisions.error_targets * latency_target;
   std::optional<std::size_t> place =
-      control::ChoosePlace(rules, views, now, draws);
+      control::ChoosePlacementTarget(rules, views, now, draws);
   if (!place.has_value()) {
     // A target that leaves still serves for a while; better than nobody.
     for (std::size_t i = 0; i < members.size(); ++i) {
       views[i].is_open = members[i]->IsReachable() &&
                          members[i]->told.state == InstanceState::kDraining;
     }
-    place = control::ChoosePlace(rules, views, now, draws);
+    place = control::ChoosePlacementTarget(rules, views, now, draws);
   }
   return place.has_value() ? members[*place] : nullptr;
 }
@@ -120,10 +121,10 @@
     const Millis last =
         known == this->last_open.end() ? this->started : known->second;
     call->waits_until =
-        now + control::WaitForTarget(this->settings.decisions.wait_for_target,
-                                     now - last, call->is_root,
-                                     call->route->latency_target,
-                                     call->deadline - now);
+        now + control::MaxWaitForTarget(
+                  this->settings.decisions.wait_for_target, now - last,
+                  call->is_root, call->route->latency_target,
+                  call->deadline - now);
   }
   if (now >= call->waits_until) {
     return false;
--- a/libs/relay/src/entry_calls.cc
+++ b/libs/relay/src/entry_calls.cc
@@ -108,7 +108,7 @@
     weights.push_back(part.weight);
     draws.push_back(this->Draw());
   }
-  return &route.parts[control::TakeTurn(weights, draws,
+  return &route.parts[control::NextPart(weights, draws,
                                         this->part_turns[route.key.Value()])];
 }
 
--- a/libs/relay/src/entry_ends.cc
+++ b/libs/relay/src/entry_ends.cc
@@ -166,7 +166,8 @@
     return;
   }
   if (call.is_root) {
-    control::NoteChain(call.info.root_route, call.ran, this->admission.chains);
+    control::RecordChain(call.info.root_route, call.ran,
+                         this->admission.chains);
   } else {
     this->served.AddToRun(this->ParentOf(call), call.ran);
   }
--- a/libs/relay/src/entry_repeats.cc
+++ b/libs/relay/src/entry_repeats.cc
@@ -132,11 +132,12 @@
   control::RepeatRules rules = this->Repeats();
   rules.used_part /= 1 + this->CallsPerRun(call.service);
   const auto calls =
-      this->admission.calls_seen.find({call.service, call.info.root_route});
+      this->admission.observed_calls.find({call.service, call.info.root_route});
   control::RepeatWant want;
   want.priority = call.info.priority;
-  want.calls =
-      calls == this->admission.calls_seen.end() ? 1 : calls->second.per_root;
+  want.calls = calls == this->admission.observed_calls.end()
+                   ? 1
+                   : calls->second.per_root;
   want.done = this->served.RanForRun(this->ParentOf(call), call.service);
   want.root_hash = call.info.root_hash;
   const double place = control::RepeatPlace(want);
--- a/libs/relay/src/peer_frames.cc
+++ b/libs/relay/src/peer_frames.cc
@@ -103,8 +103,8 @@
   writer.PutText(frame.fields);
   writer.PutText(frame.body);
   // A chain over more services than there is room for tells none.
-  writer.PutShort(frame.ran.is_cut ? 0 : frame.ran.size);
-  for (std::size_t i = 0; !frame.ran.is_cut && i < frame.ran.size; ++i) {
+  writer.PutShort(frame.ran.is_truncated ? 0 : frame.ran.size);
+  for (std::size_t i = 0; !frame.ran.is_truncated && i < frame.ran.size; ++i) {
     writer.Put(frame.ran.entries[i].service);
     writer.PutShort(frame.ran.entries[i].runs);
   }
--- a/libs/relay/src/peer_news.cc
+++ b/libs/relay/src/peer_news.cc
@@ -288,7 +288,7 @@
   const Millis now = BootTimeNow();
   LoadFrame load = LoadOf(state);
   if (now - this->chains_told < kChainsAgain &&
-      !control::HaveChainsMoved(this->told_chains, load.roots)) {
+      !control::HaveChainsChanged(this->told_chains, load.roots)) {
     DropCalls(load.roots);
     return load;
   }
--- a/libs/relay/src/peer_state_frames.cc
+++ b/libs/relay/src/peer_state_frames.cc
@@ -220,7 +220,7 @@
   for (const control::RootRate& entry : frame.roots) {
     writer.Put(entry.route);
     writer.PutShortFraction(entry.offered_per_s);
-    writer.PutShortFraction(entry.let_in_per_s);
+    writer.PutShortFraction(entry.admitted_per_s);
   }
   PutRepeats(frame.repeats, writer);
   PutCalls(frame.roots, writer);
@@ -243,7 +243,7 @@
   for (control::RootRate& entry : frame.roots) {
     in.Take(entry.route);
     entry.offered_per_s = in.TakeShortFraction();
-    entry.let_in_per_s = in.TakeShortFraction();
+    entry.admitted_per_s = in.TakeShortFraction();
   }
   TakeRepeats(in, frame.repeats);
   TakeCalls(in, frame.roots);
@@ -275,7 +275,7 @@
   for (const control::RootRate& entry : frame.roots) {
     writer.Put(entry.route);
     writer.PutFraction(entry.offered_per_s);
-    writer.PutFraction(entry.let_in_per_s);
+    writer.PutFraction(entry.admitted_per_s);
   }
   writer.Put(frame.born);
   PutRepeats(frame.repeats, writer);
@@ -308,7 +308,7 @@
   for (control::RootRate& entry : frame.roots) {
     in.Take(entry.route);
     entry.offered_per_s = in.TakeFraction();
-    entry.let_in_per_s = in.TakeFraction();
+    entry.admitted_per_s = in.TakeFraction();
   }
   // An older node says nothing of it.
   frame.born = 0;
--- a/libs/relay/src/relay_node.cc
+++ b/libs/relay/src/relay_node.cc
@@ -198,7 +198,7 @@
   state.work_ms = control::MeanWorkMs(this->served.Meter());
   state.demand = control::DemandOf(this->served.Meter());
   state.calls_per_run = this->served.CallsPerRun();
-  state.roots = control::OwnRates(this->entry.Admission());
+  state.roots = control::LocalRootRates(this->entry.Admission());
   state.repeats = this->entry.OwnRepeats(BootTimeNow());
   state.has_source = this->has_source && !this->is_stopping;
   state.erring = this->served.Erring();
--- a/libs/relay/src/served_calls.cc
+++ b/libs/relay/src/served_calls.cc
@@ -97,7 +97,7 @@
     this->Reject(call, fault);
     return;
   }
-  control::NoteDemand(frame.root_route, this->meter);
+  control::RecordDemand(frame.root_route, this->meter);
   call->method.assign(frame.method);
   call->start.reserve(frame.target.size() + frame.fields.size() + 200);
   call->start.append(frame.method).append(" ").append(frame.target);
@@ -222,7 +222,7 @@
   answer.work_us = static_cast<std::uint32_t>(work.count * kMicrosPerMilli);
   if (has_not_run) {
     ++this->counters.refused_by_target;
-    control::NoteTurnedAway(call->info.root_route, this->meter);
+    control::RemoveRefusedDemand(call->info.root_route, this->meter);
   } else {
     ++this->counters.answered;
     const bool is_error =
@@ -367,7 +367,7 @@
   if (before != current) {
     // Connections to the one before must not carry requests for this one.
     this->pool.CloseIdle();
-    control::ForgetWork(this->meter);
+    control::ResetWork(this->meter);
     this->errors = control::ErrorShare();
     if (before.id == current.id) {
       this->EndRunsOfEarlierStart();
@@ -389,7 +389,7 @@
 /// Takes the time of a call, unless this host stood still while it ran.
 void ServedCalls::Sample(const Call& call, LatencyMs work) {
   if (!call.spans_suspension) {
-    control::NoteWork(call.info.root_route, BootTimeNow(), work, this->meter);
+    control::RecordWork(call.info.root_route, BootTimeNow(), work, this->meter);
   }
 }
 
@@ -466,8 +466,10 @@
   if (now - this->meter.window_start >= Millis{100}) {
     const double span =
         static_cast<double>((now - this->meter.window_start).count);
-    control::UpdateRate(span, control::kStructureMemoryMs, this->calls_of_runs);
-    control::UpdateRate(span, control::kStructureMemoryMs, this->started_runs);
+    control::UpdateRate(span, control::kCallRatioTimeConstantMs,
+                        this->calls_of_runs);
+    control::UpdateRate(span, control::kCallRatioTimeConstantMs,
+                        this->started_runs);
     control::UpdateDemand(now, this->meter);
   }
 }
--- a/libs/relay/tests/peer_frames_test.cc
+++ b/libs/relay/tests/peer_frames_test.cc
@@ -216,13 +216,13 @@
   REQUIRE(read.roots[1].calls.empty());
   LoadFrame load = LoadOf(state);
   load.roots[0].calls.clear();
-  load.roots[0].let_in_per_s = 10;
+  load.roots[0].admitted_per_s = 10;
   bytes.clear();
   Append(load, bytes);
   LoadFrame told;
   REQUIRE(Decode(Only(bytes).payload, told));
   ApplyLoad(told, read);
-  REQUIRE(read.roots[0].let_in_per_s == Approx(10));
+  REQUIRE(read.roots[0].admitted_per_s == Approx(10));
   REQUIRE(read.roots[0].calls.size() == 2);
   state.roots[0].calls = {{77, 4}};
   bytes.clear();
