--- a/libs/control/include/almondlink/control/admission.h
+++ b/libs/control/include/almondlink/control/admission.h
@@ -12,21 +12,24 @@
 #include "almondlink/control/service_time.h"
 #include "almondlink/control/shed_rank.h"
 
-/// Admission at the target's node: who is sent to the target now, who waits,
-/// who is refused.
+/// Admission control at the node beside a target: decides which requests are
+/// dispatched, queued or refused.
 ///
-/// A request passes the pressure threshold first, then takes a free place under
-/// the concurrency limit or waits in the queue. The queue is ordered by class,
-/// then deeper work first (more was spent on it), then rank, then arrival, and
-/// is bounded in length by what can be served within the longest wait; when it
-/// is full, the last of the order is evicted. Whoever waited too long or cannot
-/// finish by its deadline is refused when its turn comes, before any work.
+/// A request is first checked against the pressure threshold (see pressure.h).
+/// It then takes a free slot under the concurrency limit or waits in the queue.
+/// The queue is ordered by criticality class, then by depth in the call chain
+/// (a deeper request has already cost more), then by shed rank, then by
+/// arrival. Its length is bounded by the number of requests that can be served
+/// within `queue_limit`; when it is full, the last entry in this order is
+/// evicted. A request that has waited longer than `queue_limit`, or that cannot
+/// finish by its deadline, is refused before any work is done for it.
 namespace almondlink::control {
 
-/// Handle of one request in an Admission.
+/// Identifies one request in an Admission; assigned by the caller, unique among
+/// the requests that are queued or in flight.
 using Ticket = Strong<struct TicketTag, std::uint64_t>;
 
-/// What admission knows of a request.
+/// The properties of a request that admission decides by.
 struct AdmissionRequest {
   Ticket ticket;
   ShedRank rank;
@@ -35,27 +38,28 @@
   Millis deadline;
 };
 
-/// Constants, from settings and bundle.
+/// Parameters of admission, from the settings and the policy bundle.
 struct AdmissionRules {
   LimitRules limit;
   Millis queue_target{20};
   Millis queue_limit{100};
 };
 
-/// A request that left the queue without being run.
+/// A request that is refused without having been run.
 struct Refusal {
   Ticket ticket;
   ErrorKind kind = ErrorKind::kOverloaded;
 };
 
-/// What follows from one event: whom to dispatch, whom to refuse.
+/// Result of one event: the requests to dispatch to the target and those to
+/// refuse, each in this order.
 struct AdmissionStep {
   std::vector<Ticket> dispatch;
   std::vector<Refusal> refuse;
   bool is_pressure_changed = false;
 };
 
-/// Place in the queue; smaller is served first.
+/// Sort key of the queue; the smallest is served first.
 struct QueueOrder {
   Criticality criticality = Criticality::kNormal;
   std::uint32_t depth = 0;
@@ -64,13 +68,13 @@
   friend bool operator<(const QueueOrder& a, const QueueOrder& b);
 };
 
-/// A waiting request.
+/// A queued request.
 struct QueueEntry {
   AdmissionRequest request;
   Millis arrived;
 };
 
-/// State of one target's admission. Plain data; one thread at a time.
+/// Admission state of one target. Not thread safe.
 struct Admission {
   ConcurrencyLimit limit;
   Pressure pressure;
@@ -81,42 +85,47 @@
   std::map<Ticket, QueueOrder> waiting;
 };
 
-/// Starts admission to a fresh target.
+/// Resets the state for a newly started target.
 void StartAdmission(const AdmissionRules& rules,
                     Millis now,
                     Admission& admission);
 
-/// Offers a request. The step holds this ticket, and possibly others, in
-/// `dispatch` or `refuse`; a ticket in neither waits.
+/// Submits a request. It is dispatched if its ticket is in `dispatch` of the
+/// result, refused if it is in `refuse`, and queued otherwise. The result may
+/// contain other requests too.
 AdmissionStep SubmitRequest(const AdmissionRules& rules,
                             Millis now,
                             const AdmissionRequest& request,
                             Admission& admission);
 
-/// Ends a dispatched request. Precondition: it was dispatched.
+/// Records that a dispatched request has ended and dispatches queued ones.
+/// Precondition: a request is in flight. `latency` is the time that the target
+/// took.
 AdmissionStep CompleteRequest(const AdmissionRules& rules,
                               Millis now,
                               LatencyMs latency,
                               Outcome outcome,
                               Admission& admission);
 
-/// Gives the place of a dispatched request back that never reached the target;
-/// nothing is learned from it.
+/// Frees the slot of a dispatched request that never reached the target. The
+/// estimates of latency and service time are not updated. Precondition: a
+/// request is in flight.
 AdmissionStep ReleaseSlot(const AdmissionRules& rules,
                           Millis now,
                           Admission& admission);
 
-/// Takes a waiting request out because its caller left. False if it does not
-/// wait.
+/// Removes a queued request whose caller has left. Returns false if the request
+/// is not queued.
 bool CancelWaiting(Ticket ticket, Admission& admission);
 
-/// Refuses who waited too long; call every few milliseconds while requests
-/// wait.
+/// Refuses queued requests that have waited too long or can no longer finish by
+/// their deadline. Call every few milliseconds while requests are queued.
 AdmissionStep RefuseExpired(const AdmissionRules& rules,
                             Millis now,
                             Admission& admission);
 
-/// Share of the limit in use, in thousandths.
+/// Requests in flight as a share of the concurrency limit, in thousandths, at
+/// most 1000.
 std::uint32_t Utilization(const AdmissionRules& rules,
                           Millis now,
                           const Admission& admission);
--- a/libs/control/include/almondlink/control/chain_admission.h
+++ b/libs/control/include/almondlink/control/chain_admission.h
@@ -12,162 +12,178 @@
 #include "almondlink/control/chain_counts.h"
 #include "almondlink/control/demand_meter.h"
 
-/// Admission of root requests by the room of every service that their chain of
-/// calls leads to.
+/// Admission of root requests by the capacity of every service on their call
+/// chain.
 ///
-/// A root request is worth its value only if all calls of its chain succeed;
-/// one that is refused deep in the chain has used the services above it for
-/// nothing. So load is refused at the root, before anything has run, and the
-/// share of each route's roots that fits is worked out instead of felt for:
+/// A root request is of use to its caller only if all calls of its chain
+/// succeed. One that is refused deep in the chain has wasted the capacity of
+/// the services above. Load is therefore refused at the root, before anything
+/// has run. The admitted share of each route is computed from the demand
+/// instead of adjusted by feedback:
 ///
-///     slots wanted at a service by a route
-///         = roots offered per second            (all nodes, half a second old)
-///         * calls there for each root           (counted, see chain_counts.h)
-///         * time of one call there              (of the last few dozen calls)
+///     slots that a route demands at a service
+///         = root requests offered per second    (all nodes, reports are up to
+///                                                half a second old)
+///         * calls there per root request        (counted, see chain_counts.h)
+///         * mean time of one call there         (over the last few dozen
+///         calls)
 ///
-/// The room of a service is given out by the priority of the routes, after a
-/// small part that all get alike and what keeps a route from being shut out
-/// (`least_part`; then no route gets fewer slots than a less urgent one). A
-/// route gets the least of what the services of its chain allow. The wanted
-/// slots do not depend on the share in force, so the result does not swing with
-/// the time that a chain takes. Every node works from the same figures and
-/// comes to the same shares.
+/// Each service first divides a small part of its capacity evenly among the
+/// routes (`assured_fraction`). It then raises every route to a minimum share
+/// (`min_relative_share`), which gives no route fewer slots than a less urgent
+/// one, and allocates the rest by priority. The admitted share of a route is
+/// the smallest that the services of its chain allow.
 ///
-/// Patterns answered: a surge that asks for two to three times what a deep,
-/// shared service can do; a service that turns 5 to 12 times slower; one that
-/// loses three of four targets.
+/// The demand does not depend on the share in force, so shares do not oscillate
+/// with the duration of a chain. All nodes compute from the same figures and
+/// arrive at the same shares.
+///
+/// Designed for: a surge of two to three times the capacity of a service deep
+/// in the chain that many routes share, a service that becomes 5 to 12 times
+/// slower, and the loss of three of a service's four targets.
 namespace almondlink::control {
 
-/// Root requests of one route on one node.
+/// Rates of the root requests of one route, as counted by one node.
 struct RootRate {
   std::uint32_t route = 0;
   double offered_per_s = 0;
   double admitted_per_s = 0;
-  /// Calls of a chain as the node has counted them; empty if it has not yet.
+  /// Mean calls per root request by service; empty until the node has counted a
+  /// chain of this route.
   std::vector<ServiceCalls> calls;
 };
 
-/// Whether calls per root differ by more than a tenth from those that were
-/// told.
+/// Whether the calls per root request of any route differ by more than a tenth
+/// between the rates last announced to other nodes and the current ones.
 bool HaveChainsChanged(const std::vector<RootRate>& announced,
                        const std::vector<RootRate>& current);
 
-/// The same on all nodes.
+/// Rates of the root requests of one route, summed over all nodes.
 struct RootTotals {
   double offered_per_s = 0;
   double admitted_per_s = 0;
-  /// Roots let in by the nodes that have counted their chains, and the calls of
-  /// these by service.
+  /// Admitted root requests per second on the nodes that have counted their
+  /// chains, and the resulting calls per second by service.
   double counted_per_s = 0;
   std::map<std::uint32_t, double> calls_per_s;
 };
 
-/// Adds what one node told.
+/// Adds the rates of one node to the totals by route.
 void AddRootRate(const RootRate& rate,
                  std::map<std::uint32_t, RootTotals>& sums);
 
-/// Calls at a service for each root; none if no node has counted a chain.
+/// Mean calls at a service per root request, 0 for a service that the chains do
+/// not reach; nothing if no node has counted a chain.
 std::optional<double> CountedCallsPerRoot(const RootTotals& sum,
                                           std::uint32_t service);
 
-/// One target of a service.
+/// Capacity and demand of one target, as its node reports them.
 struct TargetCapacity {
   std::uint32_t slots = 0;
   std::uint32_t waiting = 0;
-  /// Mean time of a call there; 0 if unknown.
+  /// Mean time of a call at this target in milliseconds; 0 if unknown.
   double work_ms = 0;
   std::vector<RouteDemand> demand;
-  /// Part of its answers that are failures of its own: where they stand out,
-  /// that part of its slots makes nothing whole.
+  /// Fraction of the target's answers that are failures of its own. The part by
+  /// which it exceeds that of the other targets (see error_share.h) is taken
+  /// off its slots, since those do not complete requests.
   double error_rate = 0;
 };
 
-/// What the targets of one service told.
+/// Capacity and demand of one service.
 struct ServiceCapacity {
   std::string service;
   std::vector<TargetCapacity> targets;
-  /// Its number in ServiceCalls; 0 if its calls are not counted.
+  /// Number of the service in ServiceCalls; 0 if its calls are not counted.
   std::uint32_t key = 0;
 };
 
-/// Constants of the admission.
+/// Parameters of the admission.
 struct ChainRules {
-  /// Part of the slots that is planned for. What waits is taken off the room,
-  /// so a swing of arrivals is worked off without a reserve: at 0.94 a
-  /// sixteenth of the slots stayed empty while requests were refused, worth
-  /// 0.01 to 0.03 of what callers were owed on days of high load.
+  /// Fraction of the slots that is allocated. Queued requests are subtracted
+  /// from the capacity, so bursts of arrivals are absorbed without a reserve.
+  /// With 0.94, a sixteenth of the slots stayed idle while requests were
+  /// refused, which lost callers 0.01 to 0.03 of the value of their requests
+  /// under high load.
   double planned_share = 1;
-  /// Time within which what waits is to be worked off, in milliseconds.
+  /// Time in which queued requests are to be worked off, in milliseconds.
   double drain_ms = 500;
-  /// Part of the room that all routes get alike, whatever their priority: no
-  /// kind of request is shut out, and the most valued one still gets four
-  /// fifths and its own part of the rest.
+  /// Fraction of the capacity that is divided evenly among the routes, whatever
+  /// their priority, so that no route is shut out. The most urgent route still
+  /// gets four fifths of the capacity and its part of this fraction.
   double assured_fraction = 0.2;
-  /// No route's share falls below this part of the share of all root requests
-  /// that are let in. Operators call a kind shut out that is served less than a
-  /// quarter as often as all, counted by requests; a request that is refused
-  /// comes back about once, so this part of the tries is just more than that.
-  /// Each more costs the most valued kind: with two of three targets gone it is
-  /// served 0.86, 0.77 and 0.61 for 0.1, 0.15 and 0.2 (test/replay).
+  /// Lower bound of a route's admitted share, relative to the admitted share of
+  /// all root requests. Operators regard a route as shut out if it is served
+  /// less than a quarter as often as all routes, counted by requests. A refused
+  /// request is retried about once, so 0.15 of the attempts is just above that.
+  /// A higher value costs the most urgent route: with two of three targets
+  /// lost, 0.86, 0.77 and 0.61 of its requests are served at 0.1, 0.15 and 0.2
+  /// (test/replay).
   double min_relative_share = 0.15;
-  /// Whether that guard also keeps a route's slots above a less urgent one's.
+  /// Whether the lower bound also guarantees each route as many slots as any
+  /// less urgent route gets from it.
   bool has_ordered_floors = true;
-  /// How far routes of one priority share the room by what a request costs: 0
-  /// gives each the same part of what it wants, 1 the same slots. With a search
-  /// of four times the cost of a lookup, 1 serves 0.96 to 0.97 of all instead
-  /// of 0.95, and the search 0.79 instead of 0.81.
+  /// Exponent of the cost of a request in the division of capacity among routes
+  /// of equal priority: with 0 each route gets the same fraction of its demand,
+  /// with 1 the same number of slots. With a search that costs four times as
+  /// much as a lookup, 1 serves 0.96 to 0.97 of all requests instead of 0.95,
+  /// and 0.79 of the searches instead of 0.81.
   double cost_exponent = 1;
-  /// Part of the way to the new share that one step goes.
+  /// Fraction of the difference to the new share that one update applies.
   double share_step = 0.5;
 };
 
-/// Share of one route's root requests that is let in.
+/// Admission state of one route.
 struct RouteShare {
   std::uint32_t priority = 0;
   double share = 1;
-  /// Root requests on this node.
+  /// Rates of the root requests on this node.
   RateMeter offered;
   RateMeter admitted;
-  /// The service that binds the share; empty if none does.
+  /// Name of the service that limits the share; empty if none does.
   std::string limiting_service;
 };
 
-/// What the rates at a service say of the calls of one route.
+/// Calls of one route at one service, derived from the rates.
 struct ObservedCalls {
-  /// Calls for each root let in, both averaged over the same seconds.
+  /// Calls per admitted root request, both rates averaged over the same time.
   double per_root = 0;
-  /// Part of a chain's counted calls that roots come to, on average.
+  /// Fraction of the counted calls of a chain that are actually made, averaged
+  /// over time; below 1 where chains end early.
   double completed_fraction = 1;
 };
 
-/// State of one node's admission. Plain data; one thread at a time.
+/// Admission state of one node. Not thread safe.
 struct ChainAdmission {
   std::map<std::uint32_t, RouteShare> routes;
   std::map<std::pair<std::string, std::uint32_t>, ObservedCalls> observed_calls;
-  /// Chains of this node's own roots.
+  /// Calls per root request, counted for the root requests of this node.
   ChainCounts chains;
   Millis updated;
-  /// Length of the last window of rates in milliseconds.
+  /// Length of the last rate window in milliseconds.
   double window_ms = 0;
 };
 
-/// Notes a root request and decides it; `draw` is uniform in 0 to 1.
+/// Counts a root request and returns whether it is admitted. `draw` is a random
+/// number, uniform in [0, 1).
 bool TryAdmitRoot(std::uint32_t route,
                   std::uint32_t priority,
                   double draw,
                   ChainAdmission& admission);
 
-/// The share of `route` in force, 1 if nothing binds it.
+/// Fraction of the root requests of `route` that is admitted now; 1 if no
+/// service limits it.
 double ShareOf(std::uint32_t route, const ChainAdmission& admission);
 
-/// Closes the window of this node's rates; call before OwnRates and
-/// UpdateShares, every 100 ms or so.
+/// Closes the rate window of this node. Call about every 100 ms, before
+/// LocalRootRates and UpdateShares.
 void UpdateRootRates(Millis now, ChainAdmission& admission);
 
-/// Rates of this node, to be told to the others.
+/// Rates of this node, to be announced to the other nodes.
 std::vector<RootRate> LocalRootRates(const ChainAdmission& admission);
 
-/// Works the shares out anew. `roots`: sums over all nodes.
+/// Recomputes the admitted share of each route. `services` and `roots` are the
+/// totals over all nodes.
 void UpdateShares(const ChainRules& rules,
                   const std::vector<ServiceCapacity>& services,
                   const std::map<std::uint32_t, RootTotals>& roots,
--- a/libs/control/include/almondlink/control/chain_counts.h
+++ b/libs/control/include/almondlink/control/chain_counts.h
@@ -7,50 +7,52 @@
 #include <map>
 #include <vector>
 
-/// How many calls a root request leads to at each service, counted on the way
-/// back: each answer carries what was run for it, the target that made calls
-/// adds theirs to its own, and so the entry node of a root gets the sum with
-/// the root's answer.
+/// Counts the calls that a root request leads to at each service.
 ///
-/// Set against rates of arrivals this could only be guessed: the calls of a
-/// chain come up to seconds after its root, so while load rises there are too
-/// few of them for each root, and once it is held back too many.
+/// The counts travel back with the answers: each answer carries the calls that
+/// were run for it, a target that makes calls adds their counts to its own, and
+/// the entry node of a root request receives the total with the root's answer.
+///
+/// A ratio of arrival rates would be inaccurate: the calls of a chain arrive up
+/// to seconds after their root request, so the ratio is too low while load
+/// rises and too high once load is held back.
 namespace almondlink::control {
 
-/// Runs at one service.
+/// Number of calls that ran at one service.
 struct ServiceCount {
-  /// Number of the service's name, the same on all nodes.
+  /// Number derived from the service's name, the same on all nodes.
   std::uint32_t service = 0;
   std::uint32_t runs = 0;
 };
 
-/// Runs at all services of a chain, or of a part of one. Without allocation: it
-/// is made for every answer.
+/// Calls that ran at the services of a chain or of a part of one. Allocates no
+/// memory, because one is built for every answer.
 struct CallCounts {
-  /// Services of one chain; no root of 40 services calls more of them.
+  /// Maximum number of services in one chain. In a deployment of 40 services no
+  /// root request reached more.
   static constexpr std::size_t kMaxServices = 16;
   std::array<ServiceCount, kMaxServices> entries{};
   std::size_t size = 0;
-  /// More services than there is room for were left out.
+  /// Whether services beyond kMaxServices were left out.
   bool is_truncated = false;
 };
 
-/// Adds runs at a service.
+/// Adds the calls at one service.
 void AddRuns(const ServiceCount& runs, CallCounts& counts);
-/// Adds all of `more`.
+/// Adds the counts of all services in `added`.
 void AddCounts(const CallCounts& added, CallCounts& counts);
 
-/// Runs at that service.
+/// Number of calls at a service; 0 if it is not included.
 std::uint32_t RunsAt(std::uint32_t service, const CallCounts& counts);
 
-/// Mean runs at a service for each root that ended.
+/// Mean number of calls at a service per completed root request.
 struct ServiceCalls {
   std::uint32_t service = 0;
   double per_root = 0;
 };
 
-/// What one node has learned of the chains of its own roots, by route. Plain
-/// data; one thread at a time.
+/// Mean calls per root request by route, as counted by one node for its own
+/// root requests. Not thread safe.
 struct ChainCounts {
   struct Chain {
     double roots = 0;
@@ -59,9 +61,10 @@
   std::map<std::uint32_t, Chain> routes;
 };
 
-/// Notes a root that was answered, with what ran for it. The first few count
-/// alike, later the last dozen or so: a release of software, or targets that
-/// refuse a part and end chains early, show within a second or two.
+/// Records the calls of an answered root request. Truncated and empty counts
+/// are ignored. The mean is over all root requests of the route up to a dozen
+/// and then exponentially weighted, so that a software release, or targets that
+/// refuse part of the calls and end chains early, show within a second or two.
 void RecordChain(std::uint32_t route,
                  const CallCounts& counts,
                  ChainCounts& chains);
--- a/libs/control/include/almondlink/control/concurrency_limit.h
+++ b/libs/control/include/almondlink/control/concurrency_limit.h
@@ -5,57 +5,63 @@
 
 #include "almondlink/base/clock.h"
 
-/// Adaptive concurrency limit of one target, learned from latencies and
-/// outcomes that its node saw itself.
+/// Adaptive concurrency limit of one target, derived from the latencies and
+/// outcomes that its node observes.
 ///
-/// By Little's law a target with room for c requests at once gives throughput
-/// c / latency. Above its real room, more concurrency only adds queueing inside
-/// the target: latency rises, throughput does not. Below it, latency is the
-/// service's own. High latency alone does not tell the two apart (a slow
-/// dependency raises it too, and cutting concurrency would then cut throughput
-/// in proportion), so the limit is tested: when latency stands above its
-/// baseline, the limit is cut for one trial. If throughput holds, the room was
-/// not real and the cut stays; if throughput falls with the cut, the latency is
-/// the service's own, becomes the new baseline, and the limit goes back.
+/// By Little's law, a target that can process c requests at once has a
+/// throughput of c / latency. Above its real capacity, more concurrency only
+/// adds queueing inside the target: latency rises and throughput does not.
+/// Below it, the latency is the service's own. High latency alone does not
+/// distinguish the two cases: a slow dependency raises it as well, and a lower
+/// limit would then reduce throughput in proportion.
+///
+/// The limit is therefore tested by a trial: when latency is above its
+/// baseline, the limit is reduced. If throughput holds, the capacity was not
+/// real and the reduced limit stays. If throughput falls, the latency is the
+/// service's own: it becomes the new baseline and the previous limit is
+/// restored.
 namespace almondlink::control {
 
-/// Constants of the limiter, with the values that docs/RESULTS.md measured.
+/// Parameters of the limiter.
 struct LimitRules {
-  /// Announced slots; the limit never goes above.
+  /// Slots that the target announces; upper bound of the limit.
   std::uint32_t slots = 64;
-  /// Samples are judged once per window.
+  /// Length of a window; the limit is updated at most once per window.
   Millis window{100};
-  /// Fewest samples to judge by.
+  /// Minimum number of samples in a window; a window stays open until it has
+  /// them.
   std::uint32_t min_samples = 10;
-  /// Latency over baseline that starts a trial.
+  /// Ratio of latency to the baseline above which a trial may start.
   double latency_tolerance = 1.6;
-  /// Part of the limit kept in a trial.
+  /// Factor applied to the limit during a trial.
   double trial_factor = 0.75;
-  /// Throughput in a trial, against before, that proves the cut harmless, and
-  /// the latency that must come with it: both, so that one noisy window does
-  /// not take room away from a target that is only slow.
+  /// Minimum throughput and maximum latency in a trial, relative to before it,
+  /// for the reduced limit to be kept. Both must be met, so that one noisy
+  /// window does not reduce the limit of a target that is only slow.
   double min_throughput_ratio = 0.9;
   double max_latency_ratio = 0.88;
-  /// Fewest samples of the windows that a trial is judged by.
+  /// Minimum number of samples in the windows that a trial is evaluated by.
   std::uint32_t min_trial_samples = 40;
-  /// Slow windows in a row before a trial: the figures before it are then those
-  /// of a steady state.
+  /// Number of consecutive slow windows before a trial, so that the figures
+  /// before it are those of a steady state.
   std::uint32_t min_slow_windows = 2;
-  /// First wait between trials that did not help; doubles up to the last.
+  /// Wait after a trial whose reduced limit was rejected; doubles with each
+  /// such trial, up to the maximum.
   Millis initial_trial_backoff{1000};
   Millis max_trial_backoff{8000};
-  /// Share of failed outcomes in a window that lowers the limit.
+  /// Fraction of failed outcomes in a window above which the limit is lowered.
   double max_failure_share = 0.2;
-  /// Time over which a fresh target's limit grows to its slots.
+  /// Time in which the limit of a newly started target rises to its slots.
   Millis slow_start{3000};
 };
 
 enum class LimitPhase { kSteady, kSettling, kTrial };
 
-/// State of one limit. Plain data; one thread at a time.
+/// State of one limit. Not thread safe.
 struct ConcurrencyLimit {
   double limit = 1;
-  /// Mean latency without queueing in the target, 0 before it is known.
+  /// Mean latency without queueing in the target, in milliseconds; 0 if
+  /// unknown.
   double baseline_latency = 0;
   LimitPhase phase = LimitPhase::kSteady;
   Millis started;
@@ -65,24 +71,24 @@
   double latency_sum = 0;
   std::uint32_t max_in_flight = 0;
   std::uint32_t slow_windows = 0;
-  /// Throughput (per ms), latency and limit before the trial.
+  /// Throughput (per ms), latency (ms) and limit before the trial.
   double rate_before = 0;
   double latency_before = 0;
   double limit_before = 0;
   Millis next_trial;
   Millis trial_backoff;
-  /// Completions per ms in the last whole window.
+  /// Completions per millisecond in the last closed window.
   double last_rate = 0;
 };
 
-/// Outcome of one request at the target.
+/// Result of one request at the target.
 enum class Outcome { kSuccess, kFailure };
 
-/// Starts a limit for a fresh (cold) target.
+/// Resets the limit for a newly started target.
 void StartLimit(const LimitRules& rules, Millis now, ConcurrencyLimit& limit);
 
-/// Takes one outcome. `in_flight` counts the requests at the target before it
-/// ended.
+/// Records the end of one request. `in_flight` is the number of requests at the
+/// target just before, including this one.
 void RecordOutcome(const LimitRules& rules,
                    Millis now,
                    LatencyMs latency,
@@ -90,7 +96,7 @@
                    std::uint32_t in_flight,
                    ConcurrencyLimit& limit);
 
-/// Requests that may be at the target now, at least 1.
+/// Maximum number of requests at the target at `now`; at least 1.
 std::uint32_t CurrentLimit(const LimitRules& rules,
                            Millis now,
                            const ConcurrencyLimit& limit);
--- a/libs/control/include/almondlink/control/demand_meter.h
+++ b/libs/control/include/almondlink/control/demand_meter.h
@@ -7,40 +7,42 @@
 
 #include "almondlink/base/clock.h"
 
-/// What is asked of a target, by the root route that the calls were made for:
-/// load is refused at the root, so that is where it has to be told apart.
+/// Measures the demand for one target by the route of the root request that the
+/// calls belong to, since load is refused per route at the root.
 ///
-/// Arrivals and the time of one call are kept apart. How many calls a root
-/// request leads to is structure and changes with a release of software, so
-/// arrivals are averaged over seconds; how long a call takes changes when a
-/// target turns slow, so it follows the last few dozen calls. An estimate
-/// without a new call is believed for a second: a target that seems slow gets
-/// no calls, and would seem slow for ever.
+/// The rate of arrivals and the time of a call are averaged separately. The
+/// number of calls per root request depends on the software and changes with a
+/// release, so arrivals are averaged over seconds. The time of a call changes
+/// when a target becomes slow, so it follows the last few dozen calls. The
+/// estimate of the time expires one second after the last call: a target that
+/// seems slow gets no calls, and the estimate would otherwise never be
+/// corrected.
 namespace almondlink::control {
 
-/// Calls of one root route at one target.
+/// Calls at one target that belong to root requests of one route.
 struct RouteDemand {
   std::uint32_t route = 0;
   double calls_per_s = 0;
-  /// 0 if unknown.
+  /// Mean time of a call in milliseconds; 0 if unknown.
   double work_ms = 0;
 };
 
-/// A rate that is averaged over a time that is given at each update.
+/// Exponentially averaged event rate.
 struct RateMeter {
-  /// Below 0 where more was taken back than came.
+  /// Events in the current window; negative if more were removed than added.
   std::int32_t events = 0;
   double per_s = 0;
 };
 
-/// Closes a window of `span_ms`; `memory_ms` is the time constant.
+/// Closes a window of `span_ms` milliseconds (above 0) and updates the average
+/// with the time constant `time_constant_ms`.
 void UpdateRate(double span_ms, double time_constant_ms, RateMeter& meter);
 
-/// Time constant of the rates whose ratio is the number of calls for each root
-/// request. Both sides use it, so that a change of load moves both alike.
+/// Time constant of the two rates whose ratio is the number of calls per root
+/// request. Both use the same one, so that a change of load affects them alike.
 constexpr double kCallRatioTimeConstantMs = 3000;
 
-/// State of one target's meter. Plain data; one thread at a time.
+/// Demand for one target. Not thread safe.
 struct DemandMeter {
   struct PerRoute {
     RateMeter arrivals;
@@ -51,31 +53,32 @@
   Millis window_start;
 };
 
-/// Notes one request that arrived for `route`, whatever becomes of it.
+/// Counts a request that arrived for `route`, whether or not it is run.
 void RecordDemand(std::uint32_t route, DemandMeter& meter);
 
-/// Takes one back that the target refused without running: it needed no slot,
-/// and counted as demand it would have roots refused for room that is there.
+/// Removes a counted request that the target refused without running it. Such a
+/// request uses no slot; as demand it would make nodes refuse root requests
+/// although slots are free.
 void RemoveRefusedDemand(std::uint32_t route, DemandMeter& meter);
 
-/// Notes how long the target worked for one request of `route`.
+/// Records the time that the target spent on one request of `route`.
 void RecordWork(std::uint32_t route,
                 Millis now,
                 LatencyMs work,
                 DemandMeter& meter);
 
-/// Forgets how long calls take, because another start of the target has come.
+/// Discards the estimates of call times after a restart of the target.
 void ResetWork(DemandMeter& meter);
 
-/// Closes the window that began at the last call. Routes without arrivals are
-/// forgotten after a while.
+/// Closes the rate window that began with the previous call. Routes whose rate
+/// has fallen to nearly zero are removed.
 void UpdateDemand(Millis now, DemandMeter& meter);
 
-/// What is asked now, by route; routes that ask next to nothing are left out.
+/// Current demand by route, without routes of negligible rate.
 std::vector<RouteDemand> DemandOf(const DemandMeter& meter);
 
-/// Mean time of one request in milliseconds over all routes, by their rates; 0
-/// if unknown.
+/// Mean time of a request in milliseconds over all routes, weighted by their
+/// rates; 0 if unknown.
 double MeanWorkMs(const DemandMeter& meter);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/downstream.h
+++ b/libs/control/include/almondlink/control/downstream.h
@@ -6,28 +6,30 @@
 #include "almondlink/base/clock.h"
 #include "almondlink/control/shed_rank.h"
 
-/// Pressure met deeper in the chain, per operation.
+/// Pressure of services further down the call chain, per operation.
 ///
-/// When a target fails a request because a call it made was refused for
-/// pressure, its node sends that level back with the answer. The entry node
-/// then refuses, before any work, the requests of that operation with the ranks
-/// that would die deeper; equal ranks at every hop make those the same
-/// requests. A level is believed for kLevelLife and falls over that time, so
-/// the first requests after it try the chain again.
+/// When a target fails a request because one of its own calls was refused for
+/// overload, its node returns the pressure level of that refusal with the
+/// answer. The entry node then refuses requests of this operation by the same
+/// ranks before any work is done. Ranks are the same on every hop, so these are
+/// the requests that would fail further down. A level decays to zero over
+/// kLevelLifetime, so that later requests probe the chain again.
 namespace almondlink::control {
 
-/// Level of one operation at one entry node. Plain data; one thread at a time.
+/// Downstream pressure level of one operation at one entry node. Not thread
+/// safe.
 struct DownstreamLevel {
   std::uint32_t level = 0;
   Millis received_at;
 };
 
-/// Takes the level of an answer; 0 is an answer that met none.
+/// Records the level from an answer; 0 if no call was refused for overload. A
+/// level below the decayed current one is ignored.
 void RecordDownstreamLevel(Millis now,
                            std::uint32_t level,
                            DownstreamLevel& downstream);
 
-/// Whether a request of that rank should be refused at entry.
+/// Whether a request of this rank is to be refused at the entry node.
 bool IsShedDownstream(Millis now,
                       ShedRank rank,
                       const DownstreamLevel& downstream);
--- a/libs/control/include/almondlink/control/placement.h
+++ b/libs/control/include/almondlink/control/placement.h
@@ -8,61 +8,69 @@
 #include "almondlink/base/clock.h"
 #include "almondlink/control/target_health.h"
 
-/// Choice of a target whose slots are known exactly.
+/// Choice of a target from the exact occupancy of its slots.
 ///
-/// The node beside a target counts what it runs and what waits there, and tells
-/// it with every answer; an entry node adds what it sent since. The cost of a
-/// target is the time that a request would take there: its mean work, and a
-/// wait that is near nothing until the slots are nearly all taken and then
-/// grows with what waits. So light load goes to the fastest targets, heavy load
-/// uses every slot, and a target that turned slow gets what the others cannot
-/// take. A target that fails part of its requests, too few in a row to be set
-/// aside, counts as slower: its failures take repeats, or requests that may run
-/// once. Of each zone two targets are drawn and the cheaper one is taken.
+/// The node beside a target counts the running and queued requests and reports
+/// them with every answer; an entry node adds the requests that it has sent
+/// since. The cost of a target is the expected time of one more request there:
+/// the mean work time, plus a wait that is negligible until nearly all slots
+/// are taken and then grows with the queue. Light load thus goes to the fastest
+/// targets, heavy load uses all slots, and a slow target gets only what the
+/// others cannot take.
+///
+/// A target that fails some of its requests, but too few in a row to be ejected
+/// as an outlier (see target_health.h), counts as slower, because its failures
+/// cause retries or fail requests that may not be retried. In each availability
+/// zone two targets are drawn at random and the cheaper one is taken.
 namespace almondlink::control {
 
-/// What an entry node knows of one target.
+/// State of one target as known by an entry node.
 struct PlacementTarget {
   bool is_own_zone = false;
-  /// Whether the target takes new work.
+  /// Whether the target accepts new requests.
   bool is_open = false;
-  /// Already tried for this request.
+  /// Whether this request has been sent there before.
   bool is_tried = false;
   std::uint32_t slots = 1;
-  /// Running and waiting there, as told, and sent by this node since.
+  /// Requests running and queued at the target by its last report, and those
+  /// that this node has sent since.
   std::uint32_t reported_load = 0;
   std::uint32_t sent_since = 0;
-  /// Mean work of a request there; 0 if unknown.
+  /// Mean time of a request at the target in milliseconds; 0 if unknown.
   double work_ms = 0;
   TargetHealth health;
-  /// Part of its answers that are failures of its own, see error_share.h.
+  /// Fraction of the target's answers that are failures of its own, see
+  /// error_share.h.
   double error_rate = 0;
 };
 
-/// Constants of the choice.
+/// Parameters of the choice.
 struct PlacementRules {
-  /// Another zone is used where the own one would take so many times as long,
-  /// and so much longer: bytes between zones are paid for.
+  /// A target in another zone is used only if the expected time in the own zone
+  /// is above `zone_factor` times the time there plus `zone_ms`: traffic
+  /// between zones is charged.
   double zone_factor = 1.3;
   double zone_ms = 3;
-  /// The own zone is used in any case while a request takes no longer there: an
-  /// answer well within its latency target is worth no more for being faster.
-  /// It takes a third off the bytes between zones.
+  /// The own zone is used regardless while the expected time there is at most
+  /// this many milliseconds: an answer well within the latency target gains
+  /// nothing by being faster. Saves a third of the traffic between zones.
   double acceptable_ms = 0;
-  /// By the expected time of a request; otherwise by the load alone.
+  /// Whether targets are compared by the expected time of a request; otherwise
+  /// by load alone.
   bool is_time_based = true;
-  /// A target that fails each request counts as so many times slower. Where two
-  /// of three targets lose two fifths of their answers, a third of the failures
-  /// is left.
+  /// Weight of failures: the expected time is multiplied by 1 +
+  /// `failing_weight` times the fraction of failed requests. With 10, if two of
+  /// three targets lose two fifths of their answers, a third of the failures
+  /// remains.
   double failing_weight = 10;
-  /// A request at a target counts as so many milliseconds longer, times the
-  /// part by which its errors stand out from the others' (error_share.h): a
-  /// failure costs the whole request. Setting such targets aside was as good
-  /// for callers, but leaves nothing where several err in part.
+  /// Milliseconds that are added to the expected time, times the part by which
+  /// the target's error rate exceeds that of the others (see error_share.h),
+  /// because a failure costs the whole request. Ejecting such targets gives
+  /// callers the same result, but leaves no target if several have errors.
   double error_penalty_ms = 0;
 };
 
-/// Draws of one choice, each uniform in [0, 1).
+/// Random numbers for one choice, each uniform in [0, 1).
 struct PlacementDraws {
   double near_first = 0;
   double near_second = 0;
@@ -70,25 +78,32 @@
   double far_second = 0;
 };
 
-/// Expected time of one more request there, in milliseconds. `typical_ms`: the
-/// mean work at the service, for targets that are not known yet.
+/// Expected time of one more request at the target, in milliseconds, without
+/// the penalties for failures. `typical_ms` is the mean work time at the
+/// service, used while that of the target is unknown.
 double ExpectedTimeMs(const PlacementTarget& target, double typical_ms);
 
-/// Index of the target to send to; none if no target is open. Pure.
+/// Returns the index in `targets` of the target to send to, or nothing if none
+/// is usable. Pure.
 std::optional<std::size_t> ChoosePlacementTarget(
     const PlacementRules& rules,
     const std::vector<PlacementTarget>& targets,
     Millis now,
     const PlacementDraws& draws);
 
-/// Longest that a request waits for a target to make itself known, when its
-/// service has none. Targets report themselves every second or two, so right
-/// after a node's start, or after all targets of a service were lost with their
-/// nodes, one is expected; later none is, and the request is refused at once.
-/// `expected`: since its service last had a target, so long until the next;
-/// `without`: since when the service has none. A root request waits no longer
-/// than its value lasts; a call below it as long as it has time, since the work
-/// above it would be lost.
+/// Maximum time that a request waits for a target to be reported if its service
+/// has none; 0 if it is to be refused at once.
+///
+/// Targets report themselves every second or two. Right after the start of a
+/// node, or after all targets of a service were lost together with their nodes,
+/// a report is therefore expected within `report_time`, counted from when the
+/// service last had a target. `elapsed` is the time since then. After
+/// `report_time` the request is not held any longer.
+///
+/// A root request waits no longer than half of `latency_target`, after which
+/// its answer is of little use. A call further down the chain waits as long as
+/// `time_left` until its deadline permits, since the work above it would be
+/// lost.
 Millis MaxWaitForTarget(Millis report_time,
                         Millis elapsed,
                         bool is_root,
--- a/libs/control/include/almondlink/control/pressure.h
+++ b/libs/control/include/almondlink/control/pressure.h
@@ -7,75 +7,81 @@
 #include "almondlink/base/clock.h"
 #include "almondlink/control/shed_rank.h"
 
-/// Pressure level of one target: how many of the ranks it sheds.
+/// Pressure level of one target: the number of ranks (see shed_rank.h) that it
+/// sheds.
 ///
-/// Requests with a rank below `threshold` are offered to the queue, others are
-/// refused at once. Once per window the threshold is set anew. If the queue
-/// wait stands above its target, the threshold falls to the highest rank whose
-/// arrivals, added up from rank 0, do not exceed what the target completed in
-/// the window: one step to the right level instead of many small ones. A window
-/// with next to no completions (the start of a surge on a cold target) says
-/// little of how much fits: the level then does not reach into a class of which
-/// no request waited too long. When the wait is below, the threshold rises by a
-/// quarter of the ranks still shed, so pressure is gone about a second after
-/// its cause. The level goes back to callers' nodes on every answer and is
-/// forgotten there after `kLevelLife`, so nothing keeps pressure up but a fresh
-/// answer.
+/// Requests with a rank below `threshold` may enter the queue, others are
+/// refused at once. The threshold is updated once per window:
+///
+/// - If the queue wait is above its target, the threshold falls to the highest
+///   rank whose cumulative arrivals do not exceed what the target completed in
+///   the window. This reaches the right level in one step.
+/// - A window with almost no completions, as at the start of a surge on a cold
+///   target, does not show how much fits. The threshold then does not fall
+///   below a class in which no request waited too long.
+/// - If the wait is below half of its target, the threshold rises by a quarter
+///   of the ranks still shed, so that pressure ends about a second after its
+///   cause.
+///
+/// The level is sent to the nodes of callers with every answer and decays there
+/// within `kLevelLifetime`, so only recent answers keep it up.
 namespace almondlink::control {
 
-/// How long an entry node believes a level it was told.
+/// Time in which a received level decays to zero at an entry node.
 constexpr Millis kLevelLifetime{1000};
 constexpr Millis kPressureWindow{100};
 
-/// State of one target's pressure. Plain data; one thread at a time.
+/// Pressure state of one target. Not thread safe.
 struct Pressure {
-  /// Ranks below are admitted; kRankCount sheds nothing.
+  /// Ranks below this are admitted; kRankCount sheds nothing.
   std::uint32_t threshold = kRankCount;
   Millis window_start;
   std::uint32_t completed = 0;
   std::uint32_t dequeued = 0;
   std::int64_t wait_sum = 0;
   std::uint32_t expired = 0;
-  /// The most valued class of which a request waited too long or was evicted in
-  /// the window; kCriticalityCount if none was.
+  /// The most critical class in which a request waited too long or was evicted
+  /// in this window; kCriticalityCount if none.
   std::uint32_t highest_late_class = kCriticalityCount;
   std::array<std::uint32_t, kRankCount> arrivals{};
 };
 
-/// Notes an arrival, whether or not it is admitted.
+/// Counts an arrival, whether or not it is admitted.
 void RecordArrival(ShedRank rank, Pressure& pressure);
-/// Notes that a request of that class left the queue for the target after
-/// `wait`.
+/// Records that a request left the queue for the target after `wait`.
+/// `queue_target` is the wait above which the class counts as delayed.
 void RecordDequeue(Criticality criticality,
                    Millis wait,
                    Millis queue_target,
                    Pressure& pressure);
-/// Notes a request of that class that was evicted or waited too long.
+/// Records that a request was evicted or waited too long.
 void RecordExpired(Criticality criticality, Pressure& pressure);
-/// Notes that the target completed a request.
+/// Counts a request that the target completed.
 void RecordCompletion(Pressure& pressure);
 
-/// Sheds every class less valued than `refused` until the next window: a class
-/// is not refused for load while a lesser one is let in.
+/// Sheds every class less critical than `refused` until the next window, so
+/// that no request is refused for load while a less critical one is admitted.
 void ShedLessCritical(Criticality refused, Pressure& pressure);
 
-/// Sets the threshold anew if the window is over; true if it changed. Call at
-/// arrivals and completions. `is_busy`: the concurrency limit is in use.
+/// Updates the threshold if the window is over and returns whether it changed.
+/// Call at arrivals and completions. `is_busy` is whether the concurrency limit
+/// is reached.
 bool UpdatePressure(Millis queue_target,
                     Millis now,
                     bool is_busy,
                     Pressure& pressure);
 
-/// Whether a request of that rank may be offered to the queue.
+/// Whether a request of this rank may enter the queue.
 bool IsBelowThreshold(ShedRank rank, const Pressure& pressure);
 
-/// The level told to others: ranks shed, 0 to kRankCount.
+/// Pressure level to report to other nodes: the number of ranks shed, 0 to
+/// kRankCount.
 std::uint32_t LevelOf(const Pressure& pressure);
 
-/// Whether a level told by a target refuses that rank.
+/// Whether a target with this pressure level refuses the rank.
 bool IsShedAt(std::uint32_t level, ShedRank rank);
 
-/// When a refused caller should come back: longer the more is shed.
+/// Time after which a refused caller may retry; rises with the level.
 Millis RetryAfter(std::uint32_t level);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/root_priority.h
+++ b/libs/control/include/almondlink/control/root_priority.h
@@ -6,11 +6,12 @@
 
 namespace almondlink::control {
 
-/// Urgency of a root request, 0 first, at most 255: the priority of its client
-/// account, and among equals that of its route. With the account's alone cheap
-/// requests push out those that operators value most: on a day of high load
-/// with two priorities of accounts the most valued kind earned 0.80 of its
-/// worth instead of 0.99, all together 0.83 instead of 0.93. Pure.
+/// Priority of a root request, 0 is the most urgent, at most 255. The priority
+/// of the client account comes first, then that of the route. By the account's
+/// priority alone, cheap requests displace those that operators value most:
+/// under high load with two account priorities, the most valued route earned
+/// 0.80 of its value instead of 0.99, and all routes together 0.83 instead of
+/// 0.93. Pure.
 std::uint32_t RootPriority(std::uint32_t route_priority,
                            std::optional<std::uint32_t> account_priority);
 
--- a/libs/control/include/almondlink/control/routing.h
+++ b/libs/control/include/almondlink/control/routing.h
@@ -13,36 +13,39 @@
 /// Choice of the target for one attempt.
 ///
 /// Two targets are drawn at random and the one with the lower cost is taken
-/// (the power of two choices: near the balance of full knowledge, without the
-/// herd that all nodes picking the one best target would make). The draw is
-/// from the own availability zone while that is no worse than `kZoneFactor`
-/// times the best of two drawn elsewhere; crossing zones costs latency, staying
-/// costs goodput when the own zone is full or gone.
+/// (power of two choices). This balances nearly as well as full knowledge,
+/// without all nodes sending to the same best target at once. A target in the
+/// own availability zone is preferred unless its cost exceeds `kZoneFactor`
+/// times that of the better of two drawn from the other zones: leaving the zone
+/// costs latency, and staying costs goodput when the zone is full or has
+/// failed.
 namespace almondlink::control {
 
-/// What an entry node knows of one target. Filled by first-hand outcomes and
-/// by what the target's node says on its answers.
+/// State of one target as known by an entry node, from the outcomes of its own
+/// calls and from the reports that the target's node sends with its answers.
 struct TargetView {
   bool is_own_zone = false;
   bool is_draining = false;
-  /// Suspected or failed in membership: used only when nothing else is left.
+  /// Suspected or failed in the membership; used only when no other target is
+  /// left.
   bool is_suspect = false;
-  /// Already tried for this call.
+  /// Whether this call has been sent there before.
   bool is_tried = false;
   std::uint32_t slots = 1;
-  /// Calls of this node that are at the target.
+  /// Calls of this node in flight at the target.
   std::uint32_t in_flight = 0;
-  /// Moving mean of whole-call latency.
+  /// Moving average of the latency of calls in milliseconds, from sending to
+  /// the answer; 0 if unknown.
   double latency = 0;
-  /// Utilization told by the target, in thousandths.
+  /// Utilization reported by the target's node, in thousandths.
   std::uint32_t utilization = 0;
-  /// Pressure level told by the target, and when.
+  /// Pressure level reported by the target's node, and when it was received.
   std::uint32_t level = 0;
   Millis level_received_at;
   TargetHealth health;
 };
 
-/// The four random draws of one choice, each uniform in [0, 1).
+/// Random numbers for one choice, each uniform in [0, 1).
 struct RoutingDraws {
   double first_near = 0;
   double second_near = 0;
@@ -50,33 +53,35 @@
   double second_far = 0;
 };
 
-/// Why no target was chosen.
+/// Reason why no target was chosen.
 struct NoRoute {
   ErrorKind kind = ErrorKind::kNoTarget;
-  /// Least pressure level among targets that refuse this rank.
+  /// Lowest pressure level among the targets that shed this rank.
   std::uint32_t level = 0;
 };
 
-/// An index into the views, or why there is none.
+/// Index of the chosen target in the views; if there is none, the reason in
+/// `no_route`.
 struct RouteChoice {
   std::optional<std::size_t> index;
   NoRoute no_route;
 };
 
-/// Chooses a target for a request of that rank. A target whose fresh level
-/// refuses the rank is left out: the request would die there. Pure.
+/// Chooses a target for a request of this rank. Targets whose current pressure
+/// level sheds the rank are left out. Pure.
 RouteChoice ChooseTarget(const std::vector<TargetView>& views,
                          Millis now,
                          ShedRank rank,
                          const RoutingDraws& draws);
 
-/// Cost of sending one more call to a target; lower is better.
+/// Relative cost of sending one more call to a target; lower is better.
 double CostOf(const TargetView& view);
 
-/// The level that still counts at `now`, falling to 0 over kLevelLife.
+/// Value of a level received at `received_at`, decayed linearly to 0 over
+/// kLevelLifetime.
 std::uint32_t DecayedLevel(std::uint32_t level, Millis received_at, Millis now);
 
-/// Takes a whole-call latency into the moving mean.
+/// Adds the latency of a call to the moving average.
 void RecordLatency(LatencyMs sample, TargetView& view);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/service_time.h
+++ b/libs/control/include/almondlink/control/service_time.h
@@ -5,31 +5,31 @@
 
 namespace almondlink::control {
 
-/// How long an estimate is believed without a new sample. An estimate that
-/// refuses every request gets no sample; without this end it would hold the
-/// refusals up after the target is fast again.
+/// Time after the last sample at which the estimate expires. An estimate that
+/// causes every request to be refused gets no more samples, and would otherwise
+/// keep refusing after the target has become fast again.
 constexpr Millis kEstimateLifetime{300};
 
-/// Moving estimate of the time a target takes, from its own completions.
-/// Plain data; one thread at a time.
+/// Moving estimate of the service time of a target in milliseconds, from its
+/// completed requests. Not thread safe.
 struct ServiceTime {
   double mean = 0;
-  /// Mean deviation from the mean.
+  /// Mean absolute deviation.
   double deviation = 0;
   std::uint64_t samples = 0;
   Millis last_sample;
 };
 
-/// Takes one sample.
+/// Adds one sample.
 void RecordServiceTime(Millis now, LatencyMs sample, ServiceTime& estimate);
 
-/// The time that a request likely needs at least: mean less deviation, so that
-/// a request is refused only when it very likely cannot finish. 0 if unknown or
-/// no longer believed.
+/// Time that a request is likely to need at least: mean minus deviation, so
+/// that a request is refused only if it very likely cannot finish. 0 if there
+/// are too few samples or the estimate has expired.
 LatencyMs LikelyMinServiceTime(Millis now, const ServiceTime& estimate);
 
-/// Whether a request that still waits for `ahead` others at a target that
-/// handles `limit` at once can be done by `deadline`.
+/// Whether a request with `ahead` others before it in the queue can finish by
+/// `deadline` at a target that runs `limit` requests at once.
 bool CanFinish(Millis now,
                Millis deadline,
                std::uint32_t ahead,
--- a/libs/control/include/almondlink/control/shed_rank.h
+++ b/libs/control/include/almondlink/control/shed_rank.h
@@ -8,9 +8,9 @@
 /// Order in which requests are shed.
 ///
 /// rank = class * 256 + hash of the root request in 0..255. Lower ranks are
-/// kept. The hash is of the root id only, so every hop keeps the same root
-/// requests of a class, and kept requests complete whole instead of each hop
-/// dropping others.
+/// kept. Only the root id is hashed, so every hop keeps the same root requests
+/// of a class and these complete; with independent choices each hop would drop
+/// others.
 namespace almondlink::control {
 
 using ShedRank = Strong<struct ShedRankTag, std::uint32_t>;
@@ -18,7 +18,7 @@
 constexpr std::uint32_t kRanksPerClass = 256;
 constexpr std::uint32_t kRankCount = kRanksPerClass * kCriticalityCount;
 
-/// The rank of a request. Pure.
+/// Rank of a request. Pure.
 ShedRank RankOf(Criticality criticality, RootId root);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/usage.h
+++ b/libs/control/include/almondlink/control/usage.h
@@ -12,12 +12,12 @@
 #include "almondlink/base/ids.h"
 #include "almondlink/wire/messages.generated.h"
 
-/// Metering. Counters only grow within an incarnation and records hold their
-/// whole value, so a record that was appended twice, or one that was lost and
-/// followed by another, changes nothing in the sum.
+/// Usage metering. Counters only grow within an incarnation of a node, and each
+/// record holds their full values. A record that is appended twice, or lost and
+/// followed by a later one, does not change the result.
 namespace almondlink::control {
 
-/// What one call is counted under.
+/// The key under which a call is counted.
 struct UsageKey {
   std::string team;
   std::string operation;
@@ -29,16 +29,17 @@
   }
 };
 
-/// Counters of one thread or one node. Plain data; one thread at a time.
+/// Usage counters of one thread or one node. Not thread safe.
 struct UsageTable {
   std::map<UsageKey, wire::UsageCell> cells;
 };
 
-/// Most cells of one table; what comes after is counted under team `other`.
+/// Maximum number of cells in a table; further keys are counted under team
+/// `other`.
 constexpr std::size_t kMaxUsageCells = 10'000;
 
-/// Counts one finished call: exactly one of served, not run and unknown grows.
-/// `retries` were spent on it by this node.
+/// Counts a finished call as exactly one of served, not run or unknown.
+/// `retries` is the number of retries that this node made for it.
 void CountCall(const UsageKey& key,
                ErrorKind outcome,
                std::uint32_t retries,
@@ -47,22 +48,23 @@
 /// Counts an answer of a target that no caller received.
 void CountWasted(const UsageKey& key, UsageTable& table);
 
-/// Adds `from` to `into`.
+/// Adds all counters of `from` to `into`.
 void AddUsage(const UsageTable& from, UsageTable& into);
 
-/// All cells for a record.
+/// All cells, as stored in a usage record.
 std::vector<wire::UsageCell> CellsOf(const UsageTable& table);
 
-/// One line of a usage report.
+/// Usage of a period.
 struct UsageReport {
   std::map<UsageKey, wire::UsageCell> cells;
-  /// Incarnations that ended without a final record: up to one interval of
-  /// their last counts may be missing.
+  /// Incarnations without a final record, as `node/incarnation`: the counts of
+  /// up to one reporting interval may be missing.
   std::vector<std::string> unfinished;
 };
 
-/// Folds usage records: per incarnation the last record at or before `to` less
-/// the last one before `from`. Records may come in any order, and twice.
+/// Computes the usage of a period: for each incarnation, the last record at or
+/// before `to` minus the last one before `from`. Records may be unordered and
+/// duplicated.
 UsageReport FoldUsage(const std::vector<wire::UsageRecord>& records,
                       Millis from,
                       Millis to);
--- a/libs/control/include/almondlink/control/weighted_round_robin.h
+++ b/libs/control/include/almondlink/control/weighted_round_robin.h
@@ -4,27 +4,29 @@
 #include <cstddef>
 #include <vector>
 
-/// Which part of a divided route a request belongs to.
+/// Assigns the requests of a split route to its parts.
 ///
-/// Smooth weighted turns: each part gains its weight, the one that is furthest
-/// ahead has the turn and pays the sum of all weights. So after any number of
-/// turns each part has had its weight's share of them, give or take the number
-/// of parts. The turn is taken before anything is known of the targets and
-/// never depends on them: a part that is short of room, or whose targets
-/// restart, gets fewer answers, but no request of its is moved to another part.
+/// Smooth weighted round robin: on each request every part gains credit equal
+/// to its weight, and the part with the most credit is chosen and pays the sum
+/// of all weights. After any number of requests each part has received its
+/// share by weight, within a deviation of about the number of parts. The choice
+/// is made before a target is chosen and is independent of the targets: a part
+/// whose targets are overloaded or restart gets fewer answers, but its requests
+/// are never moved to another part.
 namespace almondlink::control {
 
-/// State of one route on one node. Not thread safe.
+/// State of one split route on one node. Not thread safe.
 struct WeightedRoundRobin {
-  /// How far each part is ahead, in weights; empty before the first turn.
+  /// Credit of each part, in units of the weights; empty before the first
+  /// request.
   std::vector<double> credits;
 };
 
-/// Number of the part whose turn it is. `weights`: one for each part, not
-/// negative, at least one above 0. `draws`: as many numbers in [0, 1); they say
-/// where a node begins, used on the first turn and when the number of parts
-/// changed. Nodes must begin at different places, or all would send their first
-/// requests to the same part.
+/// Returns the index of the part for the next request. `weights` has one
+/// non-negative entry per part, at least one of them above 0. `draws` has as
+/// many random numbers in [0, 1); they set the initial credits, on the first
+/// request and when the number of parts changes. Without them all nodes would
+/// send their first requests to the same part.
 std::size_t NextPart(const std::vector<double>& weights,
                      const std::vector<double>& draws,
                      WeightedRoundRobin& turns);
--- a/libs/control/src/admission.cc
+++ b/libs/control/src/admission.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// Longest queue, in multiples of the limit, before service times are known.
+/// Queue capacity in multiples of the limit while the service time is unknown.
 constexpr std::uint32_t kQueuePerSlot = 4;
 constexpr std::uint32_t kMinQueueCapacity = 16;
 constexpr std::uint32_t kThousand = 1000;
 
-/// Requests that can be served within the longest wait.
+/// Number of requests that can be served within `queue_limit`.
 std::size_t QueueCapacity(const AdmissionRules& rules,
                           std::uint32_t limit,
                           const Admission& admission) {
@@ -40,7 +40,7 @@
   admission.queue.erase(first);
 }
 
-/// Why a request cannot be dispatched any more, or kNone.
+/// Reason why a queued request can no longer be dispatched, or kNone.
 ErrorKind ReasonToRefuse(const AdmissionRules& rules,
                          Millis now,
                          const QueueEntry& entry,
@@ -57,8 +57,8 @@
   return ErrorKind::kNone;
 }
 
-/// Refuses a waiting request for load, and before it every waiting request of a
-/// lesser class: they would otherwise take the places that it did not get.
+/// Refuses a queued request for overload, after all queued requests of less
+/// critical classes: otherwise those would take the slots that it did not get.
 void RefuseOverloaded(const AdmissionRequest& request,
                       Admission& admission,
                       AdmissionStep& step) {
@@ -91,7 +91,8 @@
   step.refuse.push_back(Refusal{request.ticket, kind});
 }
 
-/// Fills free places from the queue.
+/// Dispatches queued requests while slots are free. Those that have expired are
+/// refused instead.
 void DispatchWaiting(const AdmissionRules& rules,
                      Millis now,
                      Admission& admission,
@@ -129,7 +130,7 @@
   admission.waiting.emplace(request.ticket, order);
 }
 
-/// Evicts the last of the order while the queue is too long.
+/// Evicts requests from the end of the queue while it is over its capacity.
 void EvictExcess(const AdmissionRules& rules,
                  Millis now,
                  Admission& admission,
@@ -234,7 +235,8 @@
                             Millis now,
                             Admission& admission) {
   AdmissionStep step;
-  // Collected first: a refusal for load takes others out of the queue.
+  // Collected first, because a refusal for overload removes other requests from
+  // the queue.
   std::vector<std::pair<AdmissionRequest, ErrorKind>> stale;
   for (const auto& [order, entry] : admission.queue) {
     const ErrorKind kind = ReasonToRefuse(rules, now, entry, admission);
--- a/libs/control/src/chain_admission.cc
+++ b/libs/control/src/chain_admission.cc
@@ -10,49 +10,53 @@
 
 namespace {
 
-/// Root requests per second below which the number of calls for each is not
-/// learned: the ratio would be chance.
+/// Rate of admitted root requests below which the calls per root request are
+/// not updated, because the ratio would be noise.
 constexpr double kMinRootsPerSecond = 1.0;
-/// A share this near to 1 is 1.
+/// Shares from here on are set to 1, since updates approach it only
+/// asymptotically.
 constexpr double kFullShare = 0.995;
-/// Calls a second that sums are divided by at least.
+/// Lower bound of divisors that are call rates, per second.
 constexpr double kMinCallsPerSecond = 0.01;
-/// Time constant of the part of its chain that a root comes to: longer than a
-/// chain takes, so that the calls still to come after a rise of load do not
-/// count as missing; with more, room is kept for chains that die early.
+/// Time constant of the completed fraction of a chain. Longer than a chain
+/// takes, so that calls still to come after a rise of load do not count as
+/// missing; with a longer one, capacity stays reserved for chains that end
+/// early.
 constexpr double kCompletionTimeConstantMs = 2000;
-/// Slots below which a service has none.
+/// Lower bound of the capacity in divisions, in slots.
 constexpr double kMinCapacity = 1e-3;
 constexpr double kMillisPerSecond = 1000;
-/// Most that a target counts for by being faster than the mean.
+/// Maximum factor by which a target that is faster than the mean counts for
+/// more slots.
 constexpr double kMaxRelativeSpeed = 2.0;
-/// Rounds in which the least share and the share of all find each other; each
-/// round halves what is between them.
+/// Iterations over the minimum share, which depends on the overall share and
+/// vice versa; each halves the remaining error.
 constexpr int kFloorRounds = 4;
-/// Rounds in which the level of sharing is closed in on, each by half: a
-/// millionth.
+/// Bisection steps for the level of sharing: an error of a millionth.
 constexpr int kBisectionRounds = 20;
 
-/// Slots that one route wants at one service if all of it were let in.
+/// Demand and allocation of one route at one service, in slots.
 struct RouteAllocation {
   std::uint32_t route = 0;
   std::uint32_t priority = 0;
   double wanted_slots = 0;
-  /// Slots for one root request a second.
+  /// Slots for one root request per second; 0 if the root is unknown.
   double slots_per_root = 0;
-  /// Slots for the least share, and as many as a less urgent route gets so.
+  /// Slots for the minimum share, and the most that any route of the same or
+  /// lower priority gets by it, up to the demand.
   double floor = 0;
   double ordered_floor = 0;
   double granted = 0;
 };
 
-/// Calls of each route at a service and the mean time of one.
+/// Calls of each route at a service, and the mean time of a call.
 struct ServiceDemand {
   std::map<std::uint32_t, RouteDemand> routes;
   double mean_work_ms = 0;
 };
 
-/// Sums over targets. The time of a call is averaged over those that know it.
+/// Sums the demand over the targets. Mean times are taken over the targets that
+/// know theirs.
 ServiceDemand SumDemand(const ServiceCapacity& service) {
   ServiceDemand sum;
   std::map<std::uint32_t, double> timed_calls;
@@ -66,7 +70,7 @@
       if (demand.work_ms <= 0) {
         continue;
       }
-      // Summed for now, divided below.
+      // Weighted sum, divided by the rate below.
       total.work_ms += demand.calls_per_s * demand.work_ms;
       timed_calls[demand.route] += demand.calls_per_s;
       calls += demand.calls_per_s;
@@ -80,17 +84,18 @@
   return sum;
 }
 
-/// Slots in terms of the mean call: a target that turned slow counts for less.
+/// Capacity of a service, in slots of mean speed: the slots of a slow target
+/// count for less.
 ///
-/// What waits is taken off as the slots that work it off in `drain_ms`, but one
-/// for each call at most: that is all a call can use. Where calls take longer
-/// than that time, as at a service that holds its slots while its own calls
-/// wait further down, the same backlog would otherwise cost twice its slots and
-/// more, until no room is left for any route, also for those that do not lead
-/// to the service that is short. In the third and
-/// fourth second of a surge over a fleet that has just started 0.77 of the most
-/// valued requests end whole with it, 0.42 without (test/replay,
-/// relay-large-1-cold, means of six seeds).
+/// Queued requests are subtracted as the slots that work them off in
+/// `drain_ms`, but at most one slot per request, since a request cannot use
+/// more. Without this bound, a backlog of calls that take longer than
+/// `drain_ms` would cost more slots than it can use. This occurs at a service
+/// whose slots are held while its own calls wait further down; its capacity
+/// would fall to zero, also for routes that do not lead to the service that is
+/// short. In the third and fourth second of a surge on a newly started fleet,
+/// 0.77 of the most urgent requests complete with the bound and 0.42 without
+/// (test/replay, relay-large-1-cold, means of six seeds).
 double CapacityOf(const ChainRules& rules,
                   const ServiceCapacity& service,
                   double mean_work_ms) {
@@ -117,17 +122,18 @@
   return std::max(0.0, capacity);
 }
 
-/// Calls at `service` for each root of the route.
+/// Calls at `service` per root request of the route.
 ///
-/// Counted calls are those of whole chains. Where chains end early, because
-/// calls are refused or come too late, fewer are made: the rates show it, but
-/// only after a while, since calls come up to seconds after their root. And
-/// where the rates show more calls than a chain has, they are those of roots
-/// let in before, which need their room all the same. So the count, reduced
-/// slowly, or the rates if they are above. In the third and fourth second of a
-/// surge over a fleet that has just started 0.72 of what callers are owed is
-/// served with it, 0.62 with the rates alone (test/replay, relay-large-1-cold,
-/// means of six seeds).
+/// The counted calls are those of complete chains. Where chains end early,
+/// because calls are refused or arrive too late, fewer calls are made. The
+/// rates show this only with a delay, since calls arrive up to seconds after
+/// their root request. Where the rates show more calls than a chain has, they
+/// belong to root requests admitted earlier, which still need capacity. The
+/// result is therefore the larger of the rates and the counted calls times the
+/// slowly updated completed fraction. In the third and fourth second of a surge
+/// on a newly started fleet, callers get 0.72 of the value of their requests,
+/// and 0.62 with the rates alone (test/replay, relay-large-1-cold, means of six
+/// seeds).
 double CallsPerRoot(const ServiceCapacity& service,
                     const RouteDemand& demand,
                     const RootTotals& roots,
@@ -150,16 +156,16 @@
   return std::max(observed.per_root, observed.completed_fraction * *counted);
 }
 
-/// What a request weighs when room is shared by cost. Calls whose root is not
-/// known weigh nothing: their room is not divided.
+/// Weight of a route when capacity is divided by cost. Calls whose root is
+/// unknown have weight 0, which allocates all of their demand.
 double WeightOf(double cost_exponent, const RouteAllocation& entry) {
   return entry.slots_per_root > 0
              ? std::pow(entry.slots_per_root, cost_exponent)
              : 0;
 }
 
-/// Slots that a route gets besides at that level of sharing: of what it misses
-/// the part that is the level over its weight.
+/// Additional slots of a route at a level of sharing: the fraction level /
+/// weight of its unmet demand, at most all of it.
 double AdditionalSlots(double level,
                        double cost_exponent,
                        const RouteAllocation& entry) {
@@ -168,9 +174,10 @@
   return part * (entry.wanted_slots - entry.granted);
 }
 
-/// Gives a part of the room to all alike, each up to what it wants: a kind that
-/// needs little is kept nearly whole by it, and callers that repeat at once,
-/// which multiply what their route wants, gain nothing.
+/// Divides `assured` slots evenly among the routes, each up to its demand, and
+/// returns the slots allocated. A route with little demand is served almost
+/// fully by this, and callers that retry immediately, which multiplies the
+/// demand of their route, gain nothing.
 double GrantAssuredSlots(double assured, std::vector<RouteAllocation>& routes) {
   std::sort(routes.begin(), routes.end(),
             [](const RouteAllocation& a, const RouteAllocation& b) {
@@ -187,8 +194,8 @@
   return assured - remaining;
 }
 
-/// Raises grants that are below `floor`, all by the same part if the room is
-/// short. Returns what that takes.
+/// Raises allocations to the floor selected by `floor`, all by the same
+/// fraction of what they lack if the capacity is short. Returns the slots used.
 double RaiseToFloor(double RouteAllocation::*floor,
                     double capacity,
                     std::vector<RouteAllocation>& routes) {
@@ -206,10 +213,10 @@
   return part * missing;
 }
 
-/// Shares what is left among routes of one priority. A request that takes four
-/// times the slots of another keeps three others out, so its route's share
-/// falls with its cost: the same room serves more callers. Returns what it
-/// gave.
+/// Divides the remaining capacity among routes of one priority and returns the
+/// slots allocated. A request that takes four times the slots of another takes
+/// the capacity of four of those, so the share of a route falls with its cost
+/// and the same capacity serves more callers.
 double GrantByCost(double cost_exponent,
                    double capacity,
                    std::vector<RouteAllocation>::iterator first,
@@ -242,8 +249,8 @@
   return allocated;
 }
 
-/// Grants the assured part first, then what keeps routes from being shut out,
-/// then by priority.
+/// Allocates the assured fraction first, then the minimum shares, then the rest
+/// by priority.
 void AllocateCapacity(const ChainRules& rules,
                       double capacity,
                       std::vector<RouteAllocation>& routes) {
@@ -265,14 +272,14 @@
   }
 }
 
-/// The share that fits, and the service that makes it so small.
+/// Admitted share of a route, and the service that limits it.
 struct RouteLimit {
   double share = 1;
   std::string limiting_service;
 };
 using RouteLimits = std::map<std::uint32_t, RouteLimit>;
 
-/// One service with its room and what is wanted there.
+/// Capacity of one service and the allocations of the routes that call it.
 struct ServiceAllocation {
   const std::string* service = nullptr;
   double capacity = 0;
@@ -295,7 +302,7 @@
     RouteAllocation entry;
     entry.route = route;
     if (root == roots.end() || known == admission.routes.end()) {
-      // Calls whose root is not known here take their room first.
+      // Calls whose root request is unknown here are allocated first.
       entry.wanted_slots = calls.calls_per_s * calls.work_ms / kMillisPerSecond;
     } else {
       entry.priority = known->second.priority;
@@ -309,7 +316,8 @@
   return allocation;
 }
 
-/// Wanted slots over room, with the shares that other services already bind.
+/// Demand divided by capacity, after the limits that other services impose on
+/// the routes.
 double OverloadRatio(const ServiceAllocation& service, RouteLimits& limits) {
   double demand = 0;
   for (const RouteAllocation& entry : service.routes) {
@@ -318,8 +326,8 @@
   return demand <= 0 ? 0 : demand / std::max(kMinCapacity, service.capacity);
 }
 
-/// Part of the root requests of all routes that `fits` lets in, with the grants
-/// of `all` where they are less.
+/// Fraction of the root requests of all routes that is admitted under `limits`,
+/// reduced by the allocations in `entries`.
 double OverallShare(const std::map<std::uint32_t, RootTotals>& roots,
                     const std::vector<RouteAllocation>& entries,
                     const RouteLimits& limits) {
@@ -339,10 +347,11 @@
   return offered > 0 ? admitted / offered : 1.0;
 }
 
-/// What each route is to get at least: `least` of its requests, and no fewer
-/// slots than a less urgent route gets so, unless that is all it wants.
-/// Without the second part the guard of a kind with long chains would be paid
-/// by whichever kind comes next in urgency, however little that one needs.
+/// Sets the floors of each route: the slots for the share `min_share` of its
+/// requests, and at least as many as any less urgent route gets by its own
+/// floor, up to its demand. Without the second floor, the minimum share of a
+/// route with long chains would be paid by the route of the next priority,
+/// however little that one needs.
 void SetFloors(bool has_ordered_floors,
                double min_share,
                const std::map<std::uint32_t, RootTotals>& roots,
@@ -356,7 +365,8 @@
   for (RouteAllocation& entry : routes) {
     const auto limit = limits.find(entry.route);
     const double share = limit == limits.end() ? 1.0 : limit->second.share;
-    // A route may be bound below it elsewhere: room here would not help.
+    // A route that another service limits further gains nothing from more slots
+    // here.
     const double part = share > 0 ? std::min(1.0, min_share / share) : 1.0;
     if (roots.count(entry.route) > 0) {
       entry.floor = part * entry.wanted_slots;
@@ -367,9 +377,9 @@
   }
 }
 
-/// Grants the room so that no route falls too far behind all. The least share
-/// depends on the share of all, which depends on the grants, so it is closed in
-/// on from below.
+/// Allocates the capacity so that no route falls too far behind the others. The
+/// minimum share depends on the overall share, which depends on the
+/// allocations, so it is approached from below by iteration.
 void AllocateWithFloors(const ChainRules& rules,
                         const std::map<std::uint32_t, RootTotals>& roots,
                         const RouteLimits& limits,
@@ -386,8 +396,9 @@
   }
 }
 
-/// Settles the services one by one, the one with the most pressure first: what
-/// it does not let in is not wanted of the others any more.
+/// Allocates the capacity of the services one by one, the most overloaded
+/// first. Root requests that one service does not admit are no demand at the
+/// others.
 void AllocateServices(const ChainRules& rules,
                       const std::map<std::uint32_t, RootTotals>& roots,
                       std::vector<ServiceAllocation>& services,
@@ -436,8 +447,8 @@
   AllocateServices(rules, roots, allocations, limits);
   for (auto& [route, state] : admission.routes) {
     const RouteLimit& limit = limits[route];
-    // What is offered fits, whatever was let in before: nobody is refused while
-    // the share finds its way back.
+    // Without a limit the share is set to 1 at once, so that no request is
+    // refused while the share converges.
     const double step = limit.limiting_service.empty() ? 1 : rules.share_step;
     state.share += step * (limit.share - state.share);
     state.limiting_service = limit.limiting_service;
--- a/libs/control/src/chain_counts.cc
+++ b/libs/control/src/chain_counts.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Roots that the mean is taken over. Nodes are averaged besides, so this need
-/// not be many.
+/// Root requests that the mean extends over. Few suffice, since the means of
+/// all nodes are averaged again.
 constexpr double kMaxAveragedRoots = 12;
 
 }  // namespace
--- a/libs/control/src/concurrency_limit.cc
+++ b/libs/control/src/concurrency_limit.cc
@@ -7,16 +7,16 @@
 
 namespace {
 
-/// Share of a cold target's slots that it gets at once.
+/// Fraction of the slots that a newly started target gets at once.
 constexpr double kColdShare = 0.2;
-/// Share by which a window of failures lowers the limit.
+/// Factor on the limit after a window with too many failures.
 constexpr double kFailureFactor = 0.85;
-/// Weight of a new window in the baseline when latency is near it.
+/// Weight of a window in the baseline when its latency is near the baseline.
 constexpr double kBaselineGain = 0.1;
-/// In-flight share of the limit from which it counts as used.
+/// Fraction of the limit from which on it counts as in use.
 constexpr double kInUseShare = 0.8;
 
-/// One window's figures.
+/// Figures of a closed window.
 struct Window {
   double latency = 0;
   double rate = 0;
@@ -96,8 +96,8 @@
     if (window.is_used) {
       Grow(rules, limit);
     } else {
-      // Only latency without queueing may move the baseline up by itself: with
-      // the limit in use each growth would raise both, step by step.
+      // The baseline rises only by latency without queueing: while the limit is
+      // in use, each increase of the limit would raise both in turn.
       limit.baseline_latency +=
           (window.latency - limit.baseline_latency) * kBaselineGain;
     }
@@ -147,7 +147,8 @@
       EvaluateSteady(rules, now, window, limit);
       break;
     case LimitPhase::kSettling:
-      // Requests that started before the cut are still ending.
+      // Requests that started before the limit was reduced are still ending, so
+      // this window is not evaluated.
       limit.phase = LimitPhase::kTrial;
       break;
     case LimitPhase::kTrial:
--- a/libs/control/src/demand_meter.cc
+++ b/libs/control/src/demand_meter.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Weight of one sample of work: 30 samples, some tens of milliseconds on a
-/// busy target, follow a target that turns slow.
+/// Weight of one sample of the call time. Thirty samples, some tens of
+/// milliseconds on a busy target, follow a target that becomes slow.
 constexpr double kWorkWeight = 1.0 / 30;
-/// How long an estimate is believed without a new call.
+/// Time after the last sample at which the estimate of the call time expires.
 constexpr Millis kEstimateLifetime{1000};
 constexpr double kMinReportedPerSecond = 0.05;
 constexpr double kMillisPerSecond = 1000;
--- a/libs/control/src/placement.cc
+++ b/libs/control/src/placement.cc
@@ -9,20 +9,23 @@
 
 namespace {
 
-/// A root request waits this part of its latency target, as for a slot.
+/// A root request waits for a target at most its latency target divided by
+/// this, as it does for a slot.
 constexpr std::int64_t kRootWaitDivisor = 2;
-/// Time that a request needs after its wait.
+/// Time before the deadline that is kept for running the request after its
+/// wait.
 constexpr Millis kMinTimeLeft{30};
 
-/// Shape of the wait below full occupancy: 2 % of the work at one half, a half
-/// of it at 0.8, twice the work when every slot is taken.
+/// Expected wait up to full occupancy, in multiples of the work time: 0.03 at
+/// half occupancy, 0.5 at 0.8, and 2 when all slots are taken.
 constexpr double kWaitExponent = 6;
 constexpr double kFullWaitFactor = 2;
-/// Extra wait for each whole turn of the slots that already waits.
+/// Additional wait per queued request and slot, in multiples of the work time.
 constexpr double kQueuedWaitFactor = 4;
 constexpr double kUnknownWorkMs = 10;
 
-/// How much the errors of each target stand out.
+/// For each target, the part by which its error rate exceeds that of the
+/// others.
 std::vector<double> ExcessErrorRates(
     const std::vector<PlacementTarget>& targets) {
   double sum = 0;
@@ -87,7 +90,8 @@
          std::max(1U, target.slots);
 }
 
-/// Expected time of a request at one target, its failures counted as time.
+/// Expected time of a request at one target, including the penalties for
+/// failures.
 double CostOf(const PlacementRules& rules,
               const PlacementTarget& target,
               double excess_errors,
@@ -102,8 +106,8 @@
   return slower * ExpectedTimeMs(average, typical) + errors;
 }
 
-/// The cheaper of two; the less occupied where either is well within the time
-/// that a request may take.
+/// Draws two targets and returns the cheaper one, or the one with lower
+/// occupancy if the expected time of both is acceptable.
 std::optional<std::size_t> CheaperOfTwo(
     const PlacementRules& rules,
     const std::vector<PlacementTarget>& targets,
--- a/libs/control/src/pressure.cc
+++ b/libs/control/src/pressure.cc
@@ -6,17 +6,19 @@
 
 namespace {
 
-/// Ranks regained per window at least, and the share of those still shed.
+/// Ranks by which the threshold rises per window: the shed ranks divided by
+/// kRiseDivisor, at least kMinRise.
 constexpr std::uint32_t kMinRise = 16;
 constexpr std::uint32_t kRiseDivisor = 4;
-/// A class that weighs most is never shed whole by a level alone: some of it
-/// must arrive so that recovery is seen.
+/// Lowest threshold that is set by load: some requests of the most critical
+/// class must arrive for a recovery to be noticed.
 constexpr std::uint32_t kMinThreshold = 8;
-/// More than completed is offered: what is too much waits in the queue by rank,
-/// while too little would leave places empty (1.05 to 1.3 were measured).
+/// Ratio of admitted to completed requests. An excess waits in the queue by
+/// rank, while too few requests would leave slots idle. Values from 1.05 to 1.3
+/// were compared.
 constexpr double kHeadroom = 1.2;
-/// Completions in a window below which their number is chance, and says nothing
-/// about how far into a class the level should reach.
+/// Number of completions in a window below which it is noise, and does not
+/// determine how far the threshold falls within a class.
 constexpr std::uint32_t kMinCompletions = 3;
 constexpr Millis kMinRetryAfter{200};
 constexpr Millis kMaxRetryAfter{2000};
--- a/libs/control/src/root_priority.cc
+++ b/libs/control/src/root_priority.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Priorities of routes that are told apart below one of an account.
+/// Number of route priorities that are distinguished for each account priority.
 constexpr std::uint32_t kRoutePriorities = 4;
-/// It travels in one byte.
+/// The priority is sent as one byte.
 constexpr std::uint32_t kMaxPriority = 255;
 
 }  // namespace
--- a/libs/control/src/root_rates.cc
+++ b/libs/control/src/root_rates.cc
@@ -5,16 +5,17 @@
 
 #include "almondlink/control/chain_admission.h"
 
-/// Root requests as a node counts and tells them, and the sums of all nodes:
-/// the second unit of chain_admission.h.
+/// Counts the root requests of a node and sums the rates of all nodes.
+/// Implements part of chain_admission.h.
 namespace almondlink::control {
 
 namespace {
 
 /// Time constant of the offered rate: short enough to follow a surge within
-/// half a second, long enough that the chance of arrivals does not move it.
+/// half a second, long enough to smooth out random arrivals.
 constexpr double kOfferedTimeConstantMs = 400;
-/// Roots a second below which a route is forgotten: one in some minutes.
+/// Root requests per second below which a route is removed: one in some
+/// minutes.
 constexpr double kMinRetainedPerSecond = 0.01;
 
 }  // namespace
@@ -104,7 +105,7 @@
   if (rate.calls.empty()) {
     return;
   }
-  // What was counted stays known while nothing is let in.
+  // The counts remain known while no root request is admitted.
   const double weight = std::max(rate.admitted_per_s, kMinRetainedPerSecond);
   sum.counted_per_s += weight;
   for (const ServiceCalls& calls : rate.calls) {
--- a/libs/control/src/routing.cc
+++ b/libs/control/src/routing.cc
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// How much worse the own zone may be before another one is used.
+/// Ratio of costs up to which a target in the own zone is preferred.
 constexpr double kZoneFactor = 1.5;
 constexpr double kLatencyGain = 0.1;
-/// Latency assumed before the first sample, so that a new target is tried but
-/// does not attract everything.
+/// Latency in milliseconds assumed before the first sample: low enough that a
+/// new target is tried, and high enough that it does not attract all calls.
 constexpr double kUnknownLatency = 1.0;
 constexpr double kThousand = 1000.0;
 
@@ -22,7 +22,7 @@
       [now](const TargetView& view) { return !MayUse(now, view.health); }));
 }
 
-/// Targets that may be used, by zone.
+/// Usable targets by zone.
 struct Candidates {
   std::vector<std::size_t> near;
   std::vector<std::size_t> far;
@@ -57,7 +57,7 @@
   return found;
 }
 
-/// An index below `count` for a draw in [0, 1).
+/// Index below `count` for a random number in [0, 1).
 std::size_t PickIndex(double draw, std::size_t count) {
   const auto index =
       static_cast<std::size_t>(draw * static_cast<double>(count));
@@ -75,7 +75,8 @@
   const std::size_t first = PickIndex(first_draw, count);
   std::size_t second = first;
   if (count > 1) {
-    // Drawn from the others, so that two different ones are compared.
+    // Drawn from the remaining targets, so that two different ones are
+    // compared.
     const std::size_t step = 1 + PickIndex(second_draw, count - 1);
     second = (first + step) % count;
   }
--- a/libs/control/src/service_time.cc
+++ b/libs/control/src/service_time.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double kGain = 0.1;
-/// Samples before an estimate is trusted.
+/// Number of samples from which on the estimate is used.
 constexpr std::uint64_t kMinSamples = 10;
 
 }  // namespace
--- a/libs/control/src/usage.cc
+++ b/libs/control/src/usage.cc
@@ -47,8 +47,9 @@
                   static_cast<Criticality>(cell.criticality), cell.is_nested};
 }
 
-/// Counters never fall within an incarnation, so this never wraps for records
-/// that nodes wrote; a forged lower one counts as zero.
+/// Difference of two counter values. Counters never decrease within an
+/// incarnation, so it is exact for records written by nodes; it is 0 for a
+/// forged lower value.
 std::uint64_t CounterDelta(std::uint64_t value, std::uint64_t before) {
   return value > before ? value - before : 0;
 }
@@ -69,7 +70,7 @@
   return cell;
 }
 
-/// The records of one incarnation that bound the time asked for.
+/// The records of one incarnation that delimit the requested period.
 struct IncarnationSpan {
   const wire::UsageRecord* first = nullptr;
   const wire::UsageRecord* last = nullptr;
--- a/libs/control/src/work_table.cc
+++ b/libs/control/src/work_table.cc
@@ -65,8 +65,9 @@
     Slot& slot = this->slots[index];
     std::uint64_t word = slot.state.load(std::memory_order_acquire);
     const std::uint32_t generation = GenerationOf(word);
-    // The fields are written before the odd generation appears. Until then a 1
-    // in the grant half of the even generation keeps other writers off.
+    // The fields are written before the odd generation is published. Until
+    // then, a grant of 1 in the even generation marks the slot as reserved for
+    // this writer.
     if (IsInUse(generation) || GrantOf(word) != 0) {
       continue;
     }
@@ -108,7 +109,7 @@
       slot->criticality.load(std::memory_order_relaxed));
   context.depth = slot->depth.load(std::memory_order_relaxed);
   std::atomic_thread_fence(std::memory_order_acquire);
-  // The slot may have been given to other work while it was read.
+  // The slot may have been reused while it was read.
   if (GenerationOf(slot->state.load(std::memory_order_relaxed)) != generation) {
     return std::nullopt;
   }
@@ -195,8 +196,8 @@
       return true;
     }
   }
-  // With the list full, every further call counts as a repeat: the bound errs
-  // to fewer retries.
+  // Once the list is full, every further call counts as a repeat, which errs
+  // towards fewer retries.
   return slot->failures.back().load() != 0;
 }
 
--- a/libs/control/tests/admission_test.cc
+++ b/libs/control/tests/admission_test.cc
@@ -56,9 +56,10 @@
 }
 
 TEST_CASE("a class that does not wait is not shed at the start of a surge") {
-  // Pattern: a cold target is overrun by pages within its first window; next to
-  // nothing is completed, and the level that fits that little lies within the
-  // ranks of the few orders that came too, though no order waited.
+  // A cold target receives a surge of kNormal requests in its first window and
+  // completes almost none. A threshold computed from so few completions would
+  // fall among the ranks of the few critical requests that arrived too,
+  // although none of those waited.
   Pressure pressure;
   RecordArrival(ShedRank(10), pressure);
   RecordArrival(ShedRank(200), pressure);
@@ -73,8 +74,8 @@
 }
 
 TEST_CASE("never is a valued class refused while a lesser one is dispatched") {
-  // Random arrivals far above capacity; at every dispatch no more valued
-  // request waits.
+  // Random arrivals far above capacity. At every dispatch, no request of a more
+  // critical class is queued.
   const AdmissionRules rules = SmallRules();
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     std::mt19937_64 random(seed);
@@ -120,8 +121,8 @@
       SubmitRequest(rules, Millis{0}, request, admission);
   REQUIRE(step.refuse.size() == 1);
   REQUIRE(step.refuse[0].kind == ErrorKind::kDeadlineUnmeetable);
-  // Without new samples the estimate is given up, or nothing would ever be
-  // tried again.
+  // The estimate expires without new samples; otherwise no request would ever
+  // be tried again.
   request.ticket = Ticket(101);
   request.deadline = Millis{450};
   const AdmissionStep later =
@@ -144,7 +145,8 @@
   REQUIRE(admission.waiting.empty());
 }
 
-/// A target with room for `room` requests at once and a FIFO queue of its own.
+/// A target that runs `capacity` requests at once and queues further ones in
+/// order of arrival.
 struct FakeTarget {
   double service_ms = 10;
   std::size_t capacity = 8;
@@ -161,7 +163,8 @@
   }
 };
 
-/// Drives a limit with unbounded demand for `span` ms; returns completions.
+/// Keeps the target at its concurrency limit for `span` ms and returns the
+/// number of completions.
 int Drive(const LimitRules& rules,
           FakeTarget& target,
           double& now,
@@ -201,7 +204,8 @@
   limit.baseline_latency = 10;
   Drive(rules, target, now, 10'000, limit);
   REQUIRE(limit.limit < 24);
-  // 8 places of 10 ms each: 800 a second, of which almost all are used.
+  // 8 slots of 10 ms each complete 800 requests per second; nearly all of that
+  // is used.
   REQUIRE(Drive(rules, target, now, 5'000, limit) > 3600);
 }
 
@@ -216,7 +220,7 @@
   double now = 0;
   Drive(rules, target, now, 3'000, limit);
   target.service_ms = 100;
-  // All 32 places at 100 ms give 320 a second.
+  // 32 slots at 100 ms complete 320 requests per second.
   REQUIRE(Drive(rules, target, now, 20'000, limit) > 0.9 * 320 * 20);
   target.service_ms = 10;
   Drive(rules, target, now, 1'000, limit);
@@ -236,7 +240,7 @@
 
 TEST_CASE("pressure falls to the right level at once and is gone in a second") {
   Pressure pressure;
-  // Four times what is completed arrives, evenly over the ranks.
+  // Four times as many requests arrive as are completed, evenly over the ranks.
   for (std::uint32_t rank = 0; rank < kRankCount; ++rank) {
     RecordArrival(ShedRank(rank), pressure);
   }
@@ -246,7 +250,7 @@
                   pressure);
   }
   REQUIRE(UpdatePressure(Millis{20}, Millis{100}, true, pressure));
-  // What was completed, with the headroom of a fifth.
+  // The completed requests plus the headroom of a fifth.
   REQUIRE(pressure.threshold == 307);
   Millis now{100};
   while (pressure.threshold < kRankCount && now < Millis{5000}) {
--- a/libs/control/tests/chain_admission_test.cc
+++ b/libs/control/tests/chain_admission_test.cc
@@ -20,8 +20,8 @@
 constexpr std::uint32_t kLookup = 13;
 constexpr std::uint32_t kCheck = 15;
 
-/// One kind of root request: how often it comes, and how many calls it makes
-/// one after the other at the short service.
+/// A route: its request rate, and the number of sequential calls that each
+/// request makes to the short service.
 struct Kind {
   std::uint32_t route;
   std::uint32_t priority;
@@ -30,30 +30,31 @@
   double work_ms;
 };
 
-/// Shapes of the deployments known: many checks with eight calls each, fewer
-/// releases with eight, lookups that are one call themselves; 129 slots.
+/// A frequent low-priority route with eight calls per request, a less frequent
+/// high-priority one with eight, and one with a single call; the short service
+/// has 129 slots.
 const std::vector<Kind> kKinds = {{kCheck, 2, 429, 8, 22},
                                   {kRelease, 0, 163, 8, 22},
                                   {kLookup, 1, 122, 1, 36}};
 
-/// What became of the requests of one kind in a stretch of time.
+/// Requests of one route in a stretch of time.
 struct Count {
   int offered = 0;
   int admitted = 0;
   int completed = 0;
 };
 
-/// Root requests at one entry, and one short service with `slots` places, in
-/// steps of a millisecond. A call that waited over `patience_ms` fails its
-/// request.
+/// Simulates root requests at one entry node and one short service with a
+/// number of slots, in steps of a millisecond. A call that was queued for more
+/// than 700 ms fails its request.
 class ChainSimulation {
  public:
   explicit ChainSimulation(int slots_in) : slots(slots_in) {}
 
   double load = 1;
-  /// Factor on the time of every call.
+  /// Factor on the time of each call.
   double slowness = 1;
-  /// Whether what is refused comes back at once, three times.
+  /// Whether each refused request is retried three times at once.
   bool has_retry_storm = false;
 
   std::map<std::uint32_t, Count> Run(int milliseconds) {
@@ -184,8 +185,8 @@
   return static_cast<double>(count.completed) / count.offered;
 }
 
-/// Rules that plan for less than all slots, from which some figures below are
-/// worked out.
+/// Rules with a reserve of 6 % of the slots, on which the expected values of
+/// some tests are based.
 ChainRules RulesWithReserve() {
   ChainRules rules;
   rules.planned_share = 0.94;
@@ -201,22 +202,22 @@
 }
 
 TEST_CASE("a surge of 1.7 over a load of 1.4 is refused by priority") {
-  // Pattern: load of 1.4 with a burst of 1.7 for 20 s on a service that is 0.84
-  // busy at the usual rate: 2.0 times what it can do.
+  // A load of 1.4 with a burst of 1.7 for 20 s, on a service that is 0.84 busy
+  // at a load of 1: twice its capacity.
   ChainSimulation chain(129);
   chain.load = 1.4;
   chain.Run(5000);
   chain.load = 1.4 * 1.7;
   chain.Run(1500);
   std::map<std::uint32_t, Count> surge = chain.Run(20'000);
-  // What is most valued is served whole, the least valued gets what is left,
-  // and what is let in completes.
+  // The high-priority routes are served almost completely, the lowest one gets
+  // the remaining capacity, and admitted requests complete.
   REQUIRE(CompletedShare(surge[kRelease]) > 0.95);
   REQUIRE(CompletedShare(surge[kLookup]) > 0.95);
   REQUIRE(CompletedShare(surge[kCheck]) > 0.2);
   REQUIRE(CompletedShare(surge[kCheck]) < 0.6);
   REQUIRE(surge[kCheck].completed > 0.95 * surge[kCheck].admitted);
-  // Back to normal within two seconds of its end.
+  // The low-priority route recovers within two seconds of the end of the surge.
   chain.load = 0.9;
   chain.Run(2000);
   std::map<std::uint32_t, Count> after = chain.Run(2000);
@@ -224,8 +225,8 @@
 }
 
 TEST_CASE("shares stand still under a steady load") {
-  // Found on a day with two thirds of a service gone: shares that were found by
-  // feedback swung between 0.1 and 0.9.
+  // Guards against oscillation: with two thirds of a service lost, shares that
+  // were adjusted by feedback swung between 0.1 and 0.9.
   ChainSimulation chain(60);
   chain.Run(6000);
   double least = 1;
@@ -240,7 +241,7 @@
 }
 
 TEST_CASE("a service that turns slow takes fewer requests, whole") {
-  // Pattern: all copies of a deep service turn 5 or 12 times slower.
+  // All targets of a service deep in the chain become 5 or 12 times slower.
   for (const double slowness : {5.0, 12.0}) {
     ChainSimulation chain(129);
     chain.Run(5000);
@@ -254,7 +255,7 @@
       completed += count.completed;
     }
     REQUIRE(completed > 0.8 * admitted);
-    // No kind is shut out.
+    // No route is shut out.
     for (const auto& [route, count] : slow) {
       REQUIRE(count.completed > 0);
     }
@@ -265,7 +266,7 @@
 }
 
 TEST_CASE("callers that repeat at once take nothing from more valued ones") {
-  // Pattern: what is refused comes back three times at once.
+  // Each refused request is retried three times at once.
   ChainSimulation chain(129);
   chain.load = 1.8;
   chain.has_retry_storm = true;
@@ -276,8 +277,9 @@
 }
 
 TEST_CASE("what one service refuses is not counted at another") {
-  // Found on a day of high load: checks that the short service did not let in
-  // still stood in for room at the archive, which then refused downloads.
+  // Guards against double counting: requests of one route that the deep service
+  // refused still counted as demand at the archive, which then refused
+  // downloads without need.
   constexpr std::uint32_t kDownload = 17;
   ChainAdmission admission;
   for (const std::uint32_t route : {kCheck, kDownload}) {
@@ -298,16 +300,17 @@
     UpdateShares(RulesWithReserve(), {{"archive", {archive}}, {"deep", {deep}}},
                  roots, admission);
   }
-  // The deep service takes 8,000 of 12,500 calls' worth: 59 % of the checks.
+  // The deep service runs 4,700 calls per second (94 slots at 20 ms) of the
+  // 8,000 demanded, which admits 59 % of the root requests.
   REQUIRE(ShareOf(kCheck, admission) < 0.62);
   REQUIRE(ShareOf(kDownload, admission) == 1.0);
 }
 
 TEST_CASE("no kind is served much less often than all") {
-  // Found on a day that took three of four targets of the short service away
-  // and left the slowest: the most valued kind took what there was, and the
-  // kind that comes most often and makes eight calls was let in a quarter as
-  // often as all requests.
+  // Guards against shutting out a route: with three of four targets of the
+  // short service lost, the high-priority route took most of the capacity, and
+  // the frequent route with eight calls per request was admitted a quarter as
+  // often as the average.
   constexpr std::uint32_t kElsewhere = 17;
   for (const std::uint32_t slots : {8U, 12U, 20U, 30U, 60U}) {
     ChainAdmission admission;
@@ -340,11 +343,11 @@
                   << ShareOf(kRelease, admission) << ", lookups "
                   << ShareOf(kLookup, admission));
     REQUIRE(ShareOf(kCheck, admission) >= 0.14 * all);
-    // The order of priorities stays, and the kind that needs least does not pay
-    // for the guard.
+    // Shares are ordered by priority, and the route with the least demand does
+    // not pay for the minimum share of others.
     REQUIRE(ShareOf(kRelease, admission) > ShareOf(kCheck, admission));
     REQUIRE(ShareOf(kLookup, admission) > ShareOf(kRelease, admission) - 0.01);
-    // The guard takes nothing that the room does not have.
+    // The minimum shares do not allocate more than the capacity.
     const double wanted = ShareOf(kCheck, admission) * 429 * 8 * 0.022 +
                           ShareOf(kRelease, admission) * 163 * 8 * 0.022 +
                           ShareOf(kLookup, admission) * 122 * 0.036;
@@ -368,14 +371,16 @@
     UpdateShares(RulesWithReserve(), {{"short", {good, slow}}}, roots,
                  admission);
   }
-  // 200 slots by name, but hardly more than the 100 of the good one.
+  // 200 announced slots, but little more capacity than the 100 of the fast
+  // target.
   REQUIRE(ShareOf(kCheck, admission) < 0.8);
 }
 
 TEST_CASE("an old estimate of a target that gets no calls is forgotten") {
-  // Found on a day of suspended hosts: calls that spanned the suspension made
-  // the target seem a hundred times slower; it got no calls, so nothing proved
-  // it fast, and the least valued kind was refused for half a minute.
+  // Calls that were in flight while a host was suspended make its target seem a
+  // hundred times slower. It then gets no calls, so without expiry the estimate
+  // would never be corrected, and low-priority requests would be refused for
+  // half a minute.
   DemandMeter meter;
   for (int i = 0; i < 300; ++i) {
     RecordDemand(kCheck, meter);
@@ -385,7 +390,7 @@
   REQUIRE(DemandOf(meter)[0].work_ms > 1900);
   UpdateDemand(Millis{1200}, meter);
   REQUIRE(DemandOf(meter)[0].work_ms == 0);
-  // What is not known there is taken from the other targets.
+  // A target without an estimate is assumed to be as fast as the others.
   ChainAdmission admission;
   TryAdmitRoot(kCheck, 2, 0, admission);
   TargetCapacity good;
@@ -405,8 +410,8 @@
 
 constexpr std::uint32_t kSearch = 23;
 
-/// Two routes of one priority at a service: a lookup of a chain that takes 60
-/// ms of its slots, and a search that takes 240. Returns their shares.
+/// Two routes of one priority at a service: a lookup that uses 60 ms of slot
+/// time per request, and a search that uses 240 ms. Returns their shares.
 std::pair<double, double> SharesByCost(double cost_exponent,
                                        std::uint32_t slots) {
   ChainAdmission admission;
@@ -428,9 +433,9 @@
 }
 
 TEST_CASE("equals share room by what a request costs") {
-  // Pattern: a service short of a tenth to a half of its slots, wanted by cheap
-  // and dear requests of one priority. The same part of each served fewer
-  // callers than the slots allow.
+  // A service lacks a tenth to a half of the slots demanded by cheap and
+  // expensive requests of one priority. Admitting the same fraction of both
+  // serves fewer callers than the slots allow.
   for (const std::uint32_t slots : {47U, 60U, 75U, 85U}) {
     const auto [lookup, search] = SharesByCost(1, slots);
     const auto [lookup_alike, search_alike] = SharesByCost(0, slots);
@@ -438,9 +443,9 @@
                   << lookup_alike << ", " << search_alike);
     REQUIRE(900 * lookup + 165 * search >
             1.05 * (900 * lookup_alike + 165 * search_alike));
-    // The dearer kind is not shut out.
+    // The more expensive route is not shut out.
     REQUIRE(search > 0.3 * lookup);
-    // All slots are given, and no more.
+    // All slots are allocated, and no more.
     const double used = 900 * lookup * 0.06 + 165 * search * 0.24;
     REQUIRE(used <= slots * 1.005);
     REQUIRE(used >= slots * 0.99);
@@ -469,9 +474,9 @@
 }
 
 TEST_CASE("calls that targets turn away are no demand for slots") {
-  // Pattern: all targets of a service refuse half of their calls while half of
-  // their slots are empty. Counted as demand, they had roots refused as if the
-  // service were full.
+  // All targets of a service refuse half of their calls while half of their
+  // slots are free. If refused calls counted as demand, root requests would be
+  // refused as if the service were full.
   DemandMeter meter;
   for (int tick = 1; tick <= 100; ++tick) {
     for (int i = 0; i < 100; ++i) {
@@ -492,9 +497,9 @@
 }
 
 TEST_CASE("all are let in as soon as what is offered fits again") {
-  // Pattern: the only target of a service is away for a moment and comes back
-  // idle. Half of the requests, then a quarter, were refused in the tenths of a
-  // second after.
+  // The only target of a service is lost for a moment and returns idle. If
+  // shares recovered in steps, half of the requests and then a quarter would be
+  // refused in the following tenths of a second.
   ChainAdmission admission;
   TryAdmitRoot(kCheck, 2, 0, admission);
   std::map<std::uint32_t, RootTotals> roots;
--- a/libs/control/tests/chain_counts_test.cc
+++ b/libs/control/tests/chain_counts_test.cc
@@ -4,7 +4,7 @@
 
 #include "almondlink/control/chain_admission.h"
 
-/// Calls of a chain, counted on the way back.
+/// Counting the calls of a chain.
 namespace almondlink::control {
 namespace {
 
@@ -94,7 +94,7 @@
   REQUIRE(CountedCallsPerRoot(sum, kShort).has_value());
   REQUIRE(*CountedCallsPerRoot(sum, kShort) ==
           Approx((30 * 8 + 10 * 4) / 40.0));
-  // Who counted the chain and met no call there says that there is none.
+  // A node that counted the chain without a call there reports none.
   REQUIRE(*CountedCallsPerRoot(sum, kFront) == Approx(0));
   REQUIRE_FALSE(CountedCallsPerRoot(RootTotals(), kShort).has_value());
 }
--- a/libs/control/tests/relay_decisions_test.cc
+++ b/libs/control/tests/relay_decisions_test.cc
@@ -23,7 +23,7 @@
 }
 
 TEST_CASE("a slow target gets what the others cannot take") {
-  // Pattern: one copy turns 12 times slower; the others are nearly full.
+  // One target becomes 12 times slower while the others are nearly full.
   REQUIRE(ExpectedTimeMs(OpenTarget(40, 38, 22), 22) <
           ExpectedTimeMs(OpenTarget(40, 1, 264), 22));
   REQUIRE(ExpectedTimeMs(OpenTarget(40, 200, 22), 22) >
@@ -49,9 +49,9 @@
 }
 
 TEST_CASE("the own zone is used while an answer comes well within its target") {
-  // Pattern: calls of 15 ms with a latency target of 300, and a target of the
-  // own zone half as fast as another's. Crossing zones made the calls a few
-  // milliseconds faster than anyone needs.
+  // Calls of 15 ms with a latency target of 300 ms; the target in the own zone
+  // is a third as fast as one in another zone. Crossing zones would save only
+  // milliseconds that the caller does not need.
   std::vector<PlacementTarget> targets = {OpenTarget(47, 5, 30),
                                           OpenTarget(47, 5, 10)};
   targets[0].is_own_zone = true;
@@ -61,7 +61,7 @@
   rules.acceptable_ms = 99;
   REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
           0U);
-  // Not when it is full, and not where its time matters.
+  // Not when it is full, and not when its expected time is above the limit.
   targets[0].reported_load = 100;
   REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
           1U);
@@ -73,8 +73,8 @@
 
 TEST_CASE(
     "within that time load is spread, and one that joined gets its part") {
-  // Pattern: a target that just joined is slower for some seconds than the
-  // other of its zone. By time alone it got nothing while load was light.
+  // A target that just joined is slower for some seconds than the other one of
+  // its zone. Chosen by time alone, it would get no requests under light load.
   std::vector<PlacementTarget> targets = {OpenTarget(31, 2, 40),
                                           OpenTarget(31, 0, 80)};
   targets[0].is_own_zone = true;
@@ -88,22 +88,22 @@
 }
 
 TEST_CASE("a target that fails part of its requests counts as slower") {
-  // Pattern: two of three targets lose two fifths of their answers; five
-  // failures in a row are rare, so neither is set aside.
+  // Two of three targets fail two fifths of their requests. Five failures in a
+  // row are rare, so neither is ejected as an outlier.
   std::vector<PlacementTarget> targets = {OpenTarget(47, 20, 15),
                                           OpenTarget(47, 20, 15)};
   targets[0].health.failing = 0.4;
   REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
                                 PlacementDraws()) == 1U);
-  // It still takes what the other cannot.
+  // It still takes the requests that the other cannot.
   targets[1].reported_load = 100;
   REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
                                 PlacementDraws()) == 0U);
 }
 
 TEST_CASE("where all targets fail alike none is set aside") {
-  // Pattern: all targets of a service refuse half of their calls. Each failed
-  // five in a row now and then, and a third of the slots was out of use.
+  // All targets of a service refuse half of their calls. Each has five failures
+  // in a row now and then; ejecting them took a third of the slots out of use.
   TargetHealth health;
   HealthRules rules;
   for (int i = 0; i < 200; ++i) {
@@ -113,7 +113,7 @@
     REQUIRE_FALSE(NoteHealth(rules, Millis{200}, true, 0.5, health));
   }
   REQUIRE(MayUse(Millis{201}, health));
-  // One that alone fails is.
+  // A target that fails while the others do not is ejected.
   REQUIRE(NoteHealth(rules, Millis{202}, true, 0.02, health));
 }
 
@@ -127,7 +127,7 @@
                     .has_value());
 }
 
-// ---- allowance of repeats ----
+// ---- repeat allowance ----
 
 TEST_CASE("the nodes together stay within the bound of the system") {
   RepeatRules rules;
@@ -159,7 +159,7 @@
     NoteRepeat(rules, Millis{1000}, allowance);
   }
   REQUIRE_FALSE(TakeRepeat(rules, 0, Millis{1000}, allowance));
-  // The window has passed; nothing is owed and nothing is saved up.
+  // After the window has passed, nothing is owed and nothing is saved up.
   REQUIRE_FALSE(TakeRepeat(rules, 0, Millis{30'000}, allowance));
 }
 
@@ -175,9 +175,9 @@
 }
 
 TEST_CASE("few repeats go to the same, most valued requests") {
-  // Pattern: every target of a deep service refuses half of its calls. Repeats
-  // for anyone who asks first saved nobody: chains of five calls ended whole in
-  // 5 of 100.
+  // Every target of a service deep in the chain refuses half of its calls. When
+  // repeats were granted in order of arrival, only 5 of 100 chains of five
+  // calls completed.
   RepeatRules rules;
   RepeatAllowance allowance;
   constexpr int kCalls = 5;
@@ -185,7 +185,7 @@
   std::mt19937_64 random(3);
   std::uniform_real_distribution<double> draw(0, 1);
   for (int i = 0; i < 20'000; ++i) {
-    // A hundred chains a second; a third of each priority.
+    // A hundred chains per second, a third of them of each priority.
     const Millis now{1000 + i * 10};
     const std::uint32_t priority = static_cast<std::uint32_t>(i) % 3;
     const double place = RepeatPlace({priority, kCalls, 0, random()});
@@ -203,14 +203,15 @@
     return static_cast<double>(counts[priority].second) /
            counts[priority].first;
   };
-  // All calls sent again at most once: 0.75 to the fifth, 0.24. None: 0.03.
+  // With each call repeated at most once 0.75 to the fifth power, 0.24, of the
+  // chains complete, and 0.03 without repeats.
   REQUIRE(share(0) > 0.1);
   REQUIRE(share(0) > 2 * share(2));
 }
 
 TEST_CASE("where requests are few, the last in order is sent again too") {
-  // Found by a test on processes: of ten requests, the only ones there were,
-  // two got no repeat although nobody else needed one.
+  // With only ten requests, the last two in the order were denied a repeat
+  // although no other request needed one.
   RepeatRules rules;
   rules.fixed = 40;
   rules.nodes = 2;
@@ -230,7 +231,8 @@
   REQUIRE(place(1, 8, ~0ULL) < place(2, 1, 0));
   REQUIRE(place(7, 8, ~0ULL) < 1);
   REQUIRE(place(2, 1, 1ULL << 40) < place(2, 1, 1ULL << 50));
-  // Among equals first what one repeat makes whole.
+  // Among requests of equal priority, those that a single repeat completes come
+  // first.
   REQUIRE(place(2, 1, ~0ULL) < place(2, 4, 0));
 }
 
@@ -242,13 +244,13 @@
   REQUIRE(place(2, ~0ULL) < place(1, 0));
   REQUIRE(place(1, ~0ULL) < place(0, 0));
   REQUIRE(place(0, 1ULL << 40) < place(0, 1ULL << 50));
-  // Never before a more urgent one.
+  // Never before a request of higher priority.
   REQUIRE(RepeatPlace({0, 4, 0, ~0ULL}) < place(3, 0));
 }
 
 TEST_CASE("a late report of an ended instance does not bring it back") {
-  // Pattern: a report that was held up arrives after its sender has ended and
-  // another instance took over the address.
+  // A delayed report arrives after its sender has ended and another instance
+  // has taken over the address.
   InstanceLedger ledger;
   TakeReport(Millis{0}, Report("old", 7), ledger);
   REQUIRE(TakeReport(Millis{1}, Report("new", 1), ledger) ==
@@ -268,8 +270,8 @@
 }
 
 TEST_CASE("an instance that leaves stays leaving, also over a restart") {
-  // Pattern: the node is restarted after it acknowledged the leave; peers
-  // remember it; a ready report that was under way arrives late.
+  // The node restarts after it has acknowledged the leave. Its peers still know
+  // of it, and a delayed ready report arrives.
   InstanceLedger ledger;
   RememberLeft(Millis{0}, {"going", 0}, ledger);
   REQUIRE(ledger.phase == InstancePhase::kNone);
@@ -307,9 +309,9 @@
 TEST_CASE("a request waits for a target only while one is expected") {
   const Millis latency_target{1000};
   const Millis left{4000};
-  // Found on the days that end with all hosts losing power: in the second and a
-  // half until all targets had reported themselves, calls of roots that were
-  // let in were refused, and the roots failed.
+  // When all hosts lose power, it takes one and a half seconds until all
+  // targets have reported themselves. Calls of admitted root requests that were
+  // refused in this time failed the whole request.
   const Millis report{3000};
   REQUIRE(MaxWaitForTarget(report, Millis{100}, false, latency_target, left) ==
           Millis{2900});
--- a/libs/control/tests/root_priority_test.cc
+++ b/libs/control/tests/root_priority_test.cc
@@ -6,9 +6,9 @@
 namespace {
 
 TEST_CASE("an account's priority goes before its route's") {
-  // The least urgent route of the most valued account.
+  // The least urgent route of the most urgent account.
   REQUIRE(RootPriority(9, 0) < RootPriority(0, 1));
-  // Among accounts alike the routes keep their order.
+  // Within one account priority the routes keep their order.
   REQUIRE(RootPriority(0, 1) < RootPriority(1, 1));
   REQUIRE(RootPriority(1, 1) < RootPriority(2, 1));
   REQUIRE(RootPriority(7, 4'000'000'000) == 255);
--- a/libs/control/tests/routing_test.cc
+++ b/libs/control/tests/routing_test.cc
@@ -18,7 +18,7 @@
   return views;
 }
 
-/// Share of choices that fall on the own zone.
+/// Fraction of the choices that fall on the own zone.
 double OwnZoneShare(const std::vector<TargetView>& views, Millis now) {
   std::mt19937_64 random(7);
   std::uniform_real_distribution<double> draw(0, 1);
@@ -77,7 +77,7 @@
   REQUIRE(shed.no_route.level == 600);
   REQUIRE(ChooseTarget(views, Millis{5000}, ShedRank(100), RoutingDraws{})
               .index.has_value());
-  // A level that nobody renews is forgotten.
+  // A level that is not refreshed expires.
   REQUIRE(ChooseTarget(views, Millis{6000}, ShedRank(900), RoutingDraws{})
               .index.has_value());
 }
@@ -126,7 +126,7 @@
   RecordDownstreamLevel(Millis{0}, 512, downstream);
   REQUIRE(IsShedDownstream(Millis{0}, ShedRank(600), downstream));
   REQUIRE_FALSE(IsShedDownstream(Millis{0}, ShedRank(500), downstream));
-  // It falls while nobody renews it.
+  // The level decays unless it is refreshed.
   REQUIRE_FALSE(IsShedDownstream(Millis{500}, ShedRank(600), downstream));
   REQUIRE_FALSE(IsShedDownstream(kLevelLifetime, ShedRank(1023), downstream));
 }
--- a/libs/control/tests/weighted_round_robin_test.cc
+++ b/libs/control/tests/weighted_round_robin_test.cc
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <random>
 
-/// Requests of a divided route, turn by turn.
+/// Distribution of the requests of a split route over its parts.
 namespace almondlink::control {
 namespace {
 
@@ -29,8 +29,8 @@
 }
 
 TEST_CASE("nodes with few requests each keep the share together") {
-  // Eleven uneven nodes of which some start anew in between, as in a planned
-  // restart of four: 939 requests in five seconds.
+  // Eleven nodes with uneven load receive 939 requests in five seconds; four of
+  // them restart halfway.
   std::mt19937 random(31777);
   const std::vector<int> per_node = {128, 103, 102, 99, 96, 88,
                                      87,  74,  67,  61, 34};
