--- a/libs/control/tests/admission_test.cc
+++ b/libs/control/tests/admission_test.cc
@@ -32,7 +32,7 @@
   return false;
 }
 
-TEST_CASE("a full queue evicts the least valued first") {
+TEST_CASE("a full queue evicts the least critical requests first") {
   const AdmissionRules rules = SmallRules();
   Admission admission;
   StartAdmission(rules, Millis{0}, admission);
@@ -55,7 +55,8 @@
   REQUIRE(refused_other == 16);
 }
 
-TEST_CASE("a class that does not wait is not shed at the start of a surge") {
+TEST_CASE(
+    "a class without delayed requests is not shed at the start of a surge") {
   // A cold target receives a surge of kNormal requests in its first window and
   // completes almost none. A threshold computed from so few completions would
   // fall among the ranks of the few critical requests that arrived too,
@@ -73,7 +74,7 @@
   REQUIRE_FALSE(IsBelowThreshold(ShedRank(2 * kRanksPerClass + 39), pressure));
 }
 
-TEST_CASE("never is a valued class refused while a lesser one is dispatched") {
+TEST_CASE("no request is dispatched while a more critical one is queued") {
   // Random arrivals far above capacity. At every dispatch, no request of a more
   // critical class is queued.
   const AdmissionRules rules = SmallRules();
@@ -106,7 +107,8 @@
   }
 }
 
-TEST_CASE("a request that cannot finish in time is refused before work") {
+TEST_CASE(
+    "a request that cannot finish by its deadline is refused before it runs") {
   AdmissionRules rules = SmallRules();
   Admission admission;
   StartAdmission(rules, Millis{0}, admission);
@@ -130,7 +132,7 @@
   REQUIRE(later.dispatch.size() == 1);
 }
 
-TEST_CASE("waiting requests end by an honest refusal") {
+TEST_CASE("queued requests that wait too long are refused") {
   const AdmissionRules rules = SmallRules();
   Admission admission;
   StartAdmission(rules, Millis{0}, admission);
@@ -193,7 +195,8 @@
   return completed;
 }
 
-TEST_CASE("the limit finds the room of a target that announces too much") {
+TEST_CASE(
+    "the limit converges to the capacity of a target that announces too much") {
   LimitRules rules;
   rules.slots = 64;
   rules.slow_start = Millis{0};
@@ -209,7 +212,7 @@
   REQUIRE(Drive(rules, target, now, 5'000, limit) > 3600);
 }
 
-TEST_CASE("a slow service keeps its concurrency, and its throughput") {
+TEST_CASE("a slow service keeps its concurrency limit and throughput") {
   LimitRules rules;
   rules.slots = 32;
   rules.slow_start = Millis{0};
@@ -227,7 +230,7 @@
   REQUIRE(Drive(rules, target, now, 2'000, limit) > 0.9 * 3200 * 2);
 }
 
-TEST_CASE("a cold target is ramped up") {
+TEST_CASE("the limit of a newly started target rises gradually") {
   LimitRules rules;
   rules.slots = 50;
   rules.slow_start = Millis{1000};
@@ -238,7 +241,8 @@
   REQUIRE(CurrentLimit(rules, Millis{1000}, limit) == 50);
 }
 
-TEST_CASE("pressure falls to the right level at once and is gone in a second") {
+TEST_CASE(
+    "pressure reaches its level in one step and ends soon after its cause") {
   Pressure pressure;
   // Four times as many requests arrive as are completed, evenly over the ranks.
   for (std::uint32_t rank = 0; rank < kRankCount; ++rank) {
@@ -260,7 +264,7 @@
   REQUIRE(now <= Millis{2200});
 }
 
-TEST_CASE("kept requests of a class are the same at every hop") {
+TEST_CASE("the rank of a request is the same at every hop") {
   const RootId root{3, 4};
   REQUIRE(RankOf(Criticality::kHigh, root) == RankOf(Criticality::kHigh, root));
   REQUIRE(RankOf(Criticality::kCritical, root) <
--- a/libs/control/tests/chain_admission_test.cc
+++ b/libs/control/tests/chain_admission_test.cc
@@ -193,7 +193,7 @@
   return rules;
 }
 
-TEST_CASE("with room for all nothing is refused") {
+TEST_CASE("nothing is refused while the capacity suffices") {
   ChainSimulation chain(140);
   chain.Run(3000);
   for (const auto& [route, count] : chain.Run(5000)) {
@@ -201,7 +201,7 @@
   }
 }
 
-TEST_CASE("a surge of 1.7 over a load of 1.4 is refused by priority") {
+TEST_CASE("a surge to twice the capacity is refused by priority") {
   // A load of 1.4 with a burst of 1.7 for 20 s, on a service that is 0.84 busy
   // at a load of 1: twice its capacity.
   ChainSimulation chain(129);
@@ -224,7 +224,7 @@
   REQUIRE(CompletedShare(after[kCheck]) > 0.97);
 }
 
-TEST_CASE("shares stand still under a steady load") {
+TEST_CASE("shares are stable under a steady load") {
   // Guards against oscillation: with two thirds of a service lost, shares that
   // were adjusted by feedback swung between 0.1 and 0.9.
   ChainSimulation chain(60);
@@ -240,7 +240,8 @@
   REQUIRE(most - least < 0.15);
 }
 
-TEST_CASE("a service that turns slow takes fewer requests, whole") {
+TEST_CASE(
+    "a service that becomes slow completes the requests that are admitted") {
   // All targets of a service deep in the chain become 5 or 12 times slower.
   for (const double slowness : {5.0, 12.0}) {
     ChainSimulation chain(129);
@@ -265,7 +266,7 @@
   }
 }
 
-TEST_CASE("callers that repeat at once take nothing from more valued ones") {
+TEST_CASE("immediate retries take no capacity from routes of higher priority") {
   // Each refused request is retried three times at once.
   ChainSimulation chain(129);
   chain.load = 1.8;
@@ -276,7 +277,7 @@
   REQUIRE(storm[kCheck].completed > 0.95 * storm[kCheck].admitted);
 }
 
-TEST_CASE("what one service refuses is not counted at another") {
+TEST_CASE("requests refused for one service are no demand at another") {
   // Guards against double counting: requests of one route that the deep service
   // refused still counted as demand at the archive, which then refused
   // downloads without need.
@@ -306,7 +307,7 @@
   REQUIRE(ShareOf(kDownload, admission) == 1.0);
 }
 
-TEST_CASE("no kind is served much less often than all") {
+TEST_CASE("no route is admitted much less often than the average") {
   // Guards against shutting out a route: with three of four targets of the
   // short service lost, the high-priority route took most of the capacity, and
   // the frequent route with eight calls per request was admitted a quarter as
@@ -355,7 +356,7 @@
   }
 }
 
-TEST_CASE("a target that turned slow counts for less room") {
+TEST_CASE("a target that became slow counts for less capacity") {
   ChainAdmission admission;
   TryAdmitRoot(kCheck, 2, 0, admission);
   TargetCapacity good;
@@ -376,7 +377,7 @@
   REQUIRE(ShareOf(kCheck, admission) < 0.8);
 }
 
-TEST_CASE("an old estimate of a target that gets no calls is forgotten") {
+TEST_CASE("the estimate of a target that gets no calls expires") {
   // Calls that were in flight while a host was suspended make its target seem a
   // hundred times slower. It then gets no calls, so without expiry the estimate
   // would never be corrected, and low-priority requests would be refused for
@@ -432,7 +433,7 @@
   return {ShareOf(kCheck, admission), ShareOf(kSearch, admission)};
 }
 
-TEST_CASE("equals share room by what a request costs") {
+TEST_CASE("routes of one priority share capacity by the cost of a request") {
   // A service lacks a tenth to a half of the slots demanded by cheap and
   // expensive requests of one priority. Admitting the same fraction of both
   // serves fewer callers than the slots allow.
@@ -473,7 +474,7 @@
   REQUIRE(ShareOf(kCheck, admission) < 0.8);
 }
 
-TEST_CASE("calls that targets turn away are no demand for slots") {
+TEST_CASE("calls that targets refuse are no demand for slots") {
   // All targets of a service refuse half of their calls while half of their
   // slots are free. If refused calls counted as demand, root requests would be
   // refused as if the service were full.
@@ -496,7 +497,7 @@
   REQUIRE(demand[0].work_ms == Approx(15));
 }
 
-TEST_CASE("all are let in as soon as what is offered fits again") {
+TEST_CASE("all requests are admitted as soon as the demand fits again") {
   // The only target of a service is lost for a moment and returns idle. If
   // shares recovered in steps, half of the requests and then a quarter would be
   // refused in the following tenths of a second.
--- a/libs/control/tests/chain_counts_test.cc
+++ b/libs/control/tests/chain_counts_test.cc
@@ -28,7 +28,7 @@
   return 0;
 }
 
-TEST_CASE("counts of a part of a chain add up") {
+TEST_CASE("counts of parts of a chain add up") {
   CallCounts sum = Counts(1, 0);
   AddCounts(Counts(0, 4), sum);
   AddCounts(Counts(0, 4), sum);
@@ -36,7 +36,7 @@
   REQUIRE(sum.entries[1].runs == 8);
 }
 
-TEST_CASE("a chain over too many services is not learned") {
+TEST_CASE("a chain over too many services is not recorded") {
   CallCounts counts;
   for (std::uint32_t service = 1; service <= CallCounts::kMaxServices;
        ++service) {
@@ -52,7 +52,7 @@
   REQUIRE(chains.routes.empty());
 }
 
-TEST_CASE("the first root tells its chain, the next ones refine it") {
+TEST_CASE("the first root request sets the mean and later ones refine it") {
   ChainCounts chains;
   RecordChain(kRoute, Counts(1, 8), chains);
   REQUIRE(PerRoot(chains, kShort) == Approx(8));
@@ -61,7 +61,7 @@
   REQUIRE(PerRoot(chains, kFront) == Approx(1));
 }
 
-TEST_CASE("chains that end early show within a few dozen roots") {
+TEST_CASE("chains that end early show within a few dozen root requests") {
   ChainCounts chains;
   for (int i = 0; i < 100; ++i) {
     RecordChain(kRoute, Counts(1, 8), chains);
@@ -72,7 +72,7 @@
   REQUIRE(PerRoot(chains, kShort) == Approx(2).margin(0.3));
 }
 
-TEST_CASE("nodes that counted are averaged by their roots") {
+TEST_CASE("nodes that counted are averaged by their root requests") {
   std::map<std::uint32_t, RootTotals> sums;
   RootRate many;
   many.route = kRoute;
--- a/libs/control/tests/relay_decisions_test.cc
+++ b/libs/control/tests/relay_decisions_test.cc
@@ -22,7 +22,7 @@
   return target;
 }
 
-TEST_CASE("a slow target gets what the others cannot take") {
+TEST_CASE("a slow target gets the requests that the others cannot take") {
   // One target becomes 12 times slower while the others are nearly full.
   REQUIRE(ExpectedTimeMs(OpenTarget(40, 38, 22), 22) <
           ExpectedTimeMs(OpenTarget(40, 1, 264), 22));
@@ -30,7 +30,7 @@
           ExpectedTimeMs(OpenTarget(40, 1, 264), 22));
 }
 
-TEST_CASE("the own zone is used while another is not much faster") {
+TEST_CASE("the own zone is preferred unless another is much faster") {
   std::vector<PlacementTarget> targets = {OpenTarget(40, 20, 20),
                                           OpenTarget(40, 5, 20)};
   targets[0].is_own_zone = true;
@@ -41,14 +41,14 @@
                                 PlacementDraws()) == 1U);
 }
 
-TEST_CASE("a target that just joined is as good as the others") {
+TEST_CASE("a target without estimates is assumed to be as fast as the others") {
   std::vector<PlacementTarget> targets = {OpenTarget(40, 30, 20),
                                           OpenTarget(40, 0, 0)};
   REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
                                 PlacementDraws()) == 1U);
 }
 
-TEST_CASE("the own zone is used while an answer comes well within its target") {
+TEST_CASE("the own zone is preferred while its expected time is acceptable") {
   // Calls of 15 ms with a latency target of 300 ms; the target in the own zone
   // is a third as fast as one in another zone. Crossing zones would save only
   // milliseconds that the caller does not need.
@@ -71,8 +71,7 @@
           1U);
 }
 
-TEST_CASE(
-    "within that time load is spread, and one that joined gets its part") {
+TEST_CASE("load is spread over all targets whose expected time is acceptable") {
   // A target that just joined is slower for some seconds than the other one of
   // its zone. Chosen by time alone, it would get no requests under light load.
   std::vector<PlacementTarget> targets = {OpenTarget(31, 2, 40),
@@ -101,7 +100,7 @@
                                 PlacementDraws()) == 0U);
 }
 
-TEST_CASE("where all targets fail alike none is set aside") {
+TEST_CASE("targets that all fail alike are not ejected as outliers") {
   // All targets of a service refuse half of their calls. Each has five failures
   // in a row now and then; ejecting them took a third of the slots out of use.
   TargetHealth health;
@@ -129,7 +128,8 @@
 
 // ---- repeat allowance ----
 
-TEST_CASE("the nodes together stay within the bound of the system") {
+TEST_CASE(
+    "the repeats of all nodes together stay within the bound of the system") {
   RepeatRules rules;
   rules.ratio = 0.2;
   rules.window = Millis{10'000};
@@ -148,7 +148,7 @@
   REQUIRE(repeats > 200);
 }
 
-TEST_CASE("repeats that came with a repeated run leave less for others") {
+TEST_CASE("repeats made inside a repeated run are charged to the allowance") {
   RepeatRules rules;
   rules.used_part = 0.5;
   RepeatAllowance allowance;
@@ -174,7 +174,7 @@
   return report;
 }
 
-TEST_CASE("few repeats go to the same, most valued requests") {
+TEST_CASE("scarce repeats go to the same requests of highest priority") {
   // Every target of a service deep in the chain refuses half of its calls. When
   // repeats were granted in order of arrival, only 5 of 100 chains of five
   // calls completed.
@@ -209,7 +209,7 @@
   REQUIRE(share(0) > 2 * share(2));
 }
 
-TEST_CASE("where requests are few, the last in order is sent again too") {
+TEST_CASE("with few requests the last in the order is repeated too") {
   // With only ten requests, the last two in the order were denied a repeat
   // although no other request needed one.
   RepeatRules rules;
@@ -222,7 +222,7 @@
   }
 }
 
-TEST_CASE("the place of a request is by priority first") {
+TEST_CASE("the order of requests for repeats is by priority first") {
   const auto place = [](std::uint32_t priority, double calls,
                         std::uint64_t hash) {
     return RepeatPlace({priority, calls, 0, hash});
@@ -236,7 +236,7 @@
   REQUIRE(place(2, 1, ~0ULL) < place(2, 4, 0));
 }
 
-TEST_CASE("what has most of its chain behind it is sent again first") {
+TEST_CASE("requests with most of their chain done are repeated first") {
   const auto place = [](std::uint32_t done, std::uint64_t hash) {
     return RepeatPlace({1, 4, done, hash});
   };
@@ -248,7 +248,7 @@
   REQUIRE(RepeatPlace({0, 4, 0, ~0ULL}) < place(3, 0));
 }
 
-TEST_CASE("a late report of an ended instance does not bring it back") {
+TEST_CASE("a late report of an ended instance does not restore it") {
   // A delayed report arrives after its sender has ended and another instance
   // has taken over the address.
   InstanceLedger ledger;
@@ -260,7 +260,7 @@
   REQUIRE(ledger.current.start.id == "new");
 }
 
-TEST_CASE("one that was replaced by mistake comes back by a newer report") {
+TEST_CASE("an instance replaced by mistake is restored by a newer report") {
   InstanceLedger ledger;
   TakeReport(Millis{0}, Report("living", 7), ledger);
   TakeReport(Millis{1}, Report("late", 3), ledger);
@@ -269,7 +269,7 @@
   REQUIRE(ledger.current.start.id == "living");
 }
 
-TEST_CASE("an instance that leaves stays leaving, also over a restart") {
+TEST_CASE("a leaving instance stays leaving across a restart of its node") {
   // The node restarts after it has acknowledged the leave. Its peers still know
   // of it, and a delayed ready report arrives.
   InstanceLedger ledger;
@@ -279,7 +279,7 @@
   REQUIRE(ledger.phase == InstancePhase::kLeaving);
 }
 
-TEST_CASE("a leave without a report counts, and not again") {
+TEST_CASE("a leave without a report is applied once") {
   InstanceLedger ledger;
   TakeReport(Millis{0}, Report("a", 1), ledger);
   REQUIRE(TakeLeave(Millis{5}, {"a", 0}, ledger) == ReportEffect::kChanged);
@@ -288,7 +288,7 @@
   REQUIRE(TakeLeave(Millis{9}, {"b", 0}, ledger) == ReportEffect::kIgnored);
 }
 
-TEST_CASE("a leaving instance does not displace a living one") {
+TEST_CASE("a leaving instance does not replace a live one") {
   InstanceLedger ledger;
   TakeReport(Millis{0}, Report("living", 1), ledger);
   InstanceReport leaving = Report("other", 5);
@@ -297,7 +297,7 @@
   REQUIRE(ledger.current.start.id == "living");
 }
 
-TEST_CASE("the last slots of an instance stay free") {
+TEST_CASE("a few slots of an instance stay unused") {
   InstanceLedger ledger;
   REQUIRE(UsableSlots(ledger) == 0);
   InstanceReport report = Report("a", 1);
--- a/libs/control/tests/root_priority_test.cc
+++ b/libs/control/tests/root_priority_test.cc
@@ -5,7 +5,8 @@
 namespace almondlink::control {
 namespace {
 
-TEST_CASE("an account's priority goes before its route's") {
+TEST_CASE(
+    "the priority of the account takes precedence over that of the route") {
   // The least urgent route of the most urgent account.
   REQUIRE(RootPriority(9, 0) < RootPriority(0, 1));
   // Within one account priority the routes keep their order.
@@ -14,7 +15,7 @@
   REQUIRE(RootPriority(7, 4'000'000'000) == 255);
 }
 
-TEST_CASE("without an account, or with one that has none, the route's counts") {
+TEST_CASE("without an account priority the route's priority is used") {
   REQUIRE(RootPriority(2, std::nullopt) == 2);
   REQUIRE(RootPriority(300, std::nullopt) == 255);
 }
--- a/libs/control/tests/routing_test.cc
+++ b/libs/control/tests/routing_test.cc
@@ -32,7 +32,7 @@
   return own / 1000.0;
 }
 
-TEST_CASE("the own zone is preferred until it costs goodput") {
+TEST_CASE("the own zone is preferred until it is overloaded") {
   std::vector<TargetView> views = SixTargets();
   REQUIRE(OwnZoneShare(views, Millis{5000}) == 1.0);
   views[0].utilization = 1000;
@@ -42,7 +42,7 @@
   REQUIRE(OwnZoneShare(views, Millis{5000}) == 0.0);
 }
 
-TEST_CASE("a lost zone is left and draining targets get nothing") {
+TEST_CASE("suspected and draining targets get no requests") {
   std::vector<TargetView> views = SixTargets();
   views[0].is_draining = true;
   views[1].is_suspect = true;
@@ -65,7 +65,7 @@
               .index.has_value());
 }
 
-TEST_CASE("a rank that every target sheds is refused at entry") {
+TEST_CASE("a rank that every target sheds is refused at the entry node") {
   std::vector<TargetView> views = SixTargets();
   for (TargetView& view : views) {
     view.level = 600;
@@ -82,7 +82,8 @@
               .index.has_value());
 }
 
-TEST_CASE("an outlier is set aside, tried by one request, and taken back") {
+TEST_CASE(
+    "an outlier is ejected, tried by one request at a time, and restored") {
   TargetHealth health;
   bool is_ejected = false;
   for (int i = 0; i < 5; ++i) {
@@ -112,7 +113,7 @@
   REQUIRE(MayUse(Millis{1500}, health));
 }
 
-TEST_CASE("when most targets fail none is set aside") {
+TEST_CASE("no target is ejected when most fail") {
   std::vector<TargetView> views = SixTargets();
   for (std::size_t i = 0; i < 4; ++i) {
     views[i].health.state = HealthState::kSetAside;
@@ -121,7 +122,8 @@
   REQUIRE(OwnZoneShare(views, Millis{5000}) == 1.0);
 }
 
-TEST_CASE("pressure deeper in the chain sheds the same ranks at entry") {
+TEST_CASE(
+    "pressure further down the chain sheds the same ranks at the entry node") {
   DownstreamLevel downstream;
   RecordDownstreamLevel(Millis{0}, 512, downstream);
   REQUIRE(IsShedDownstream(Millis{0}, ShedRank(600), downstream));
--- a/libs/control/tests/weighted_round_robin_test.cc
+++ b/libs/control/tests/weighted_round_robin_test.cc
@@ -14,7 +14,7 @@
   return {draw(random), draw(random)};
 }
 
-TEST_CASE("each part has its share of any span of turns on one node") {
+TEST_CASE("each part gets its share of any sequence of requests on one node") {
   std::mt19937 random(1);
   WeightedRoundRobin turns;
   std::vector<std::size_t> taken;
@@ -28,7 +28,7 @@
   }
 }
 
-TEST_CASE("nodes with few requests each keep the share together") {
+TEST_CASE("nodes with few requests each keep the shares in total") {
   // Eleven nodes with uneven load receive 939 requests in five seconds; four of
   // them restart halfway.
   std::mt19937 random(31777);
@@ -50,7 +50,7 @@
   REQUIRE(first_part / static_cast<double>(all) == Approx(0.75).margin(0.02));
 }
 
-TEST_CASE("new weights hold from the next turn on") {
+TEST_CASE("new weights apply from the next request on") {
   std::mt19937 random(2);
   WeightedRoundRobin turns;
   for (int i = 0; i < 50; ++i) {
@@ -63,7 +63,7 @@
   REQUIRE(std::abs(first_part - 20) <= 2);
 }
 
-TEST_CASE("a part of weight nothing gets nothing") {
+TEST_CASE("a part of weight 0 gets no requests") {
   std::mt19937 random(3);
   WeightedRoundRobin turns;
   for (int i = 0; i < 100; ++i) {
@@ -71,7 +71,7 @@
   }
 }
 
-TEST_CASE("a part that is added takes its turns") {
+TEST_CASE("an added part gets its share") {
   std::mt19937 random(4);
   WeightedRoundRobin turns;
   NextPart({0.5, 0.5}, Draws(random), turns);
