--- a/libs/control/src/routing.cc
+++ b/libs/control/src/routing.cc
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// How much worse the own zone may be before another one is used.
+/// Ratio of costs up to which a target in the own zone is preferred.
 constexpr double kZoneFactor = 1.5;
 constexpr double kLatencyGain = 0.1;
-/// Latency assumed before the first sample, so that a new target is tried but
-/// does not attract everything.
+/// Latency in milliseconds assumed before the first sample: low enough that a
+/// new target is tried, and high enough that it does not attract all calls.
 constexpr double kUnknownLatency = 1.0;
 constexpr double kThousand = 1000.0;
 
@@ -22,11 +22,11 @@
       [now](const TargetView& view) { return !MayUse(now, view.health); }));
 }
 
-/// Targets that may be used, by zone.
+/// Usable targets by zone.
 struct Candidates {
   std::vector<std::size_t> near;
   std::vector<std::size_t> far;
-  std::uint32_t least_level = kRankCount;
+  std::uint32_t min_level = kRankCount;
   bool is_any_shedding = false;
 };
 
@@ -45,10 +45,11 @@
     if (!is_usable) {
       continue;
     }
-    const std::uint32_t level = FreshLevel(view.level, view.level_time, now);
+    const std::uint32_t level =
+        DecayedLevel(view.level, view.level_received_at, now);
     if (IsShedAt(level, rank)) {
       found.is_any_shedding = true;
-      found.least_level = std::min(found.least_level, level);
+      found.min_level = std::min(found.min_level, level);
       continue;
     }
     (view.is_own_zone ? found.near : found.far).push_back(i);
@@ -56,7 +57,7 @@
   return found;
 }
 
-/// An index below `count` for a draw in [0, 1).
+/// Index below `count` for a random number in [0, 1).
 std::size_t PickIndex(double draw, std::size_t count) {
   const auto index =
       static_cast<std::size_t>(draw * static_cast<double>(count));
@@ -74,7 +75,8 @@
   const std::size_t first = PickIndex(first_draw, count);
   std::size_t second = first;
   if (count > 1) {
-    // Drawn from the others, so that two different ones are compared.
+    // Drawn from the remaining targets, so that two different ones are
+    // compared.
     const std::size_t step = 1 + PickIndex(second_draw, count - 1);
     second = (first + step) % count;
   }
@@ -85,21 +87,23 @@
 
 }  // namespace
 
-std::uint32_t FreshLevel(std::uint32_t level, Millis told, Millis now) {
-  const Millis age = now - told;
-  if (age >= kLevelLife) {
+std::uint32_t DecayedLevel(std::uint32_t level,
+                           Millis received_at,
+                           Millis now) {
+  const Millis age = now - received_at;
+  if (age >= kLevelLifetime) {
     return 0;
   }
-  const std::int64_t left =
-      kLevelLife.count - std::max<std::int64_t>(0, age.count);
-  return static_cast<std::uint32_t>(level * left / kLevelLife.count);
+  const std::int64_t remaining =
+      kLevelLifetime.count - std::max<std::int64_t>(0, age.count);
+  return static_cast<std::uint32_t>(level * remaining / kLevelLifetime.count);
 }
 
 double CostOf(const TargetView& view) {
   const double latency = view.latency > 0 ? view.latency : kUnknownLatency;
   const double own = (view.in_flight + 1.0) / std::max(1U, view.slots);
-  const double told = view.utilization / kThousand;
-  return latency * (1 + own + told) + own * kUnknownLatency;
+  const double reported = view.utilization / kThousand;
+  return latency * (1 + own + reported) + own * kUnknownLatency;
 }
 
 RouteChoice ChooseTarget(const std::vector<TargetView>& views,
@@ -123,12 +127,12 @@
   }
   choice.index = near.has_value() ? near : far;
   if (!choice.index.has_value() && found.is_any_shedding) {
-    choice.none = NoRoute{ErrorKind::kOverloaded, found.least_level};
+    choice.no_route = NoRoute{ErrorKind::kOverloaded, found.min_level};
   }
   return choice;
 }
 
-void NoteLatency(LatencyMs sample, TargetView& view) {
+void RecordLatency(LatencyMs sample, TargetView& view) {
   if (view.latency == 0) {
     view.latency = sample.count;
     return;
--- a/libs/control/tests/relay_decisions_test.cc
+++ b/libs/control/tests/relay_decisions_test.cc
@@ -11,79 +11,98 @@
 
 // ---- placement ----
 
-PlaceView Open(std::uint32_t slots, std::uint32_t load, double work_ms) {
-  PlaceView view;
-  view.is_open = true;
-  view.slots = slots;
-  view.told_load = load;
-  view.work_ms = work_ms;
-  return view;
+PlacementTarget OpenTarget(std::uint32_t slots,
+                           std::uint32_t load,
+                           double work_ms) {
+  PlacementTarget target;
+  target.is_open = true;
+  target.slots = slots;
+  target.reported_load = load;
+  target.work_ms = work_ms;
+  return target;
 }
 
-TEST_CASE("a slow target gets what the others cannot take") {
-  // Pattern: one copy turns 12 times slower; the others are nearly full.
-  REQUIRE(PlaceCost(Open(40, 38, 22), 22) < PlaceCost(Open(40, 1, 264), 22));
-  REQUIRE(PlaceCost(Open(40, 200, 22), 22) > PlaceCost(Open(40, 1, 264), 22));
+TEST_CASE("a slow target gets the requests that the others cannot take") {
+  // One target becomes 12 times slower while the others are nearly full.
+  REQUIRE(ExpectedTimeMs(OpenTarget(40, 38, 22), 22) <
+          ExpectedTimeMs(OpenTarget(40, 1, 264), 22));
+  REQUIRE(ExpectedTimeMs(OpenTarget(40, 200, 22), 22) >
+          ExpectedTimeMs(OpenTarget(40, 1, 264), 22));
 }
 
-TEST_CASE("the own zone is used while another is not much faster") {
-  std::vector<PlaceView> views = {Open(40, 20, 20), Open(40, 5, 20)};
-  views[0].is_own_zone = true;
-  REQUIRE(ChoosePlace(PlaceRules(), views, Millis{0}, PlaceDraws()) == 0U);
-  views[0].told_load = 60;
-  REQUIRE(ChoosePlace(PlaceRules(), views, Millis{0}, PlaceDraws()) == 1U);
+TEST_CASE("the own zone is preferred unless another is much faster") {
+  std::vector<PlacementTarget> targets = {OpenTarget(40, 20, 20),
+                                          OpenTarget(40, 5, 20)};
+  targets[0].is_own_zone = true;
+  REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
+                                PlacementDraws()) == 0U);
+  targets[0].reported_load = 60;
+  REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
+                                PlacementDraws()) == 1U);
 }
 
-TEST_CASE("a target that just joined is as good as the others") {
-  std::vector<PlaceView> views = {Open(40, 30, 20), Open(40, 0, 0)};
-  REQUIRE(ChoosePlace(PlaceRules(), views, Millis{0}, PlaceDraws()) == 1U);
+TEST_CASE("a target without estimates is assumed to be as fast as the others") {
+  std::vector<PlacementTarget> targets = {OpenTarget(40, 30, 20),
+                                          OpenTarget(40, 0, 0)};
+  REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
+                                PlacementDraws()) == 1U);
 }
 
-TEST_CASE("the own zone is used while an answer comes well within its target") {
-  // Pattern: calls of 15 ms with a latency target of 300, and a target of the
-  // own zone half as fast as another's. Crossing zones made the calls a few
-  // milliseconds faster than anyone needs.
-  std::vector<PlaceView> views = {Open(47, 5, 30), Open(47, 5, 10)};
-  views[0].is_own_zone = true;
-  PlaceRules rules;
-  REQUIRE(ChoosePlace(rules, views, Millis{0}, PlaceDraws()) == 1U);
-  rules.patience_ms = 99;
-  REQUIRE(ChoosePlace(rules, views, Millis{0}, PlaceDraws()) == 0U);
-  // Not when it is full, and not where its time matters.
-  views[0].told_load = 100;
-  REQUIRE(ChoosePlace(rules, views, Millis{0}, PlaceDraws()) == 1U);
-  views[0].told_load = 5;
-  rules.patience_ms = 20;
-  REQUIRE(ChoosePlace(rules, views, Millis{0}, PlaceDraws()) == 1U);
+TEST_CASE("the own zone is preferred while its expected time is acceptable") {
+  // Calls of 15 ms with a latency target of 300 ms; the target in the own zone
+  // is a third as fast as one in another zone. Crossing zones would save only
+  // milliseconds that the caller does not need.
+  std::vector<PlacementTarget> targets = {OpenTarget(47, 5, 30),
+                                          OpenTarget(47, 5, 10)};
+  targets[0].is_own_zone = true;
+  PlacementRules rules;
+  REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
+          1U);
+  rules.acceptable_ms = 99;
+  REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
+          0U);
+  // Not when it is full, and not when its expected time is above the limit.
+  targets[0].reported_load = 100;
+  REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
+          1U);
+  targets[0].reported_load = 5;
+  rules.acceptable_ms = 20;
+  REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
+          1U);
 }
 
-TEST_CASE(
-    "within that time load is spread, and one that joined gets its part") {
-  // Pattern: a target that just joined is slower for some seconds than the
-  // other of its zone. By time alone it got nothing while load was light.
-  std::vector<PlaceView> views = {Open(31, 2, 40), Open(31, 0, 80)};
-  views[0].is_own_zone = true;
-  views[1].is_own_zone = true;
-  PlaceRules rules;
-  REQUIRE(ChoosePlace(rules, views, Millis{0}, PlaceDraws()) == 0U);
-  rules.patience_ms = 99;
-  REQUIRE(ChoosePlace(rules, views, Millis{0}, PlaceDraws()) == 1U);
+TEST_CASE("load is spread over all targets whose expected time is acceptable") {
+  // A target that just joined is slower for some seconds than the other one of
+  // its zone. Chosen by time alone, it would get no requests under light load.
+  std::vector<PlacementTarget> targets = {OpenTarget(31, 2, 40),
+                                          OpenTarget(31, 0, 80)};
+  targets[0].is_own_zone = true;
+  targets[1].is_own_zone = true;
+  PlacementRules rules;
+  REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
+          0U);
+  rules.acceptable_ms = 99;
+  REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
+          1U);
 }
 
 TEST_CASE("a target that fails part of its requests counts as slower") {
-  // Pattern: two of three targets lose two fifths of their answers; five
-  // failures in a row are rare, so neither is set aside.
-  std::vector<PlaceView> views = {Open(47, 20, 15), Open(47, 20, 15)};
-  views[0].health.failing = 0.4;
-  REQUIRE(ChoosePlace(PlaceRules(), views, Millis{0}, PlaceDraws()) == 1U);
-  // It still takes what the other cannot.
-  views[1].told_load = 100;
-  REQUIRE(ChoosePlace(PlaceRules(), views, Millis{0}, PlaceDraws()) == 0U);
+  // Two of three targets fail two fifths of their requests. Five failures in a
+  // row are rare, so neither is ejected as an outlier.
+  std::vector<PlacementTarget> targets = {OpenTarget(47, 20, 15),
+                                          OpenTarget(47, 20, 15)};
+  targets[0].health.failing = 0.4;
+  REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
+                                PlacementDraws()) == 1U);
+  // It still takes the requests that the other cannot.
+  targets[1].reported_load = 100;
+  REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
+                                PlacementDraws()) == 0U);
 }
 
-TEST_CASE("where all targets fail alike none is set aside") {
-  // Pattern: all targets of a service refuse half of their calls. Each failed
-  // five in a row now and then, and a third of the slots was out of use.
+TEST_CASE("targets that all fail alike are not ejected as outliers") {
+  // All targets of a service refuse half of their calls. Each has five failures
+  // in a row now and then; ejecting them took a third of the slots out of use.
   TargetHealth health;
   HealthRules rules;
   for (int i = 0; i < 200; ++i) {
@@ -93,21 +112,24 @@
     REQUIRE_FALSE(NoteHealth(rules, Millis{200}, true, 0.5, health));
   }
   REQUIRE(MayUse(Millis{201}, health));
-  // One that alone fails is.
+  // A target that fails while the others do not is ejected.
   REQUIRE(NoteHealth(rules, Millis{202}, true, 0.02, health));
 }
 
 TEST_CASE("neither closed nor tried targets are chosen") {
-  std::vector<PlaceView> views = {Open(40, 0, 20), Open(40, 0, 20)};
-  views[0].is_open = false;
-  views[1].is_tried = true;
-  REQUIRE_FALSE(
-      ChoosePlace(PlaceRules(), views, Millis{0}, PlaceDraws()).has_value());
+  std::vector<PlacementTarget> targets = {OpenTarget(40, 0, 20),
+                                          OpenTarget(40, 0, 20)};
+  targets[0].is_open = false;
+  targets[1].is_tried = true;
+  REQUIRE_FALSE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
+                                      PlacementDraws())
+                    .has_value());
 }
 
-// ---- allowance of repeats ----
+// ---- repeat allowance ----
 
-TEST_CASE("the nodes together stay within the bound of the system") {
+TEST_CASE(
+    "the repeats of all nodes together stay within the bound of the system") {
   RepeatRules rules;
   rules.ratio = 0.2;
   rules.window = Millis{10'000};
@@ -126,7 +148,7 @@
   REQUIRE(repeats > 200);
 }
 
-TEST_CASE("repeats that came with a repeated run leave less for others") {
+TEST_CASE("repeats made inside a repeated run are charged to the allowance") {
   RepeatRules rules;
   rules.used_part = 0.5;
   RepeatAllowance allowance;
@@ -137,7 +159,7 @@
     NoteRepeat(rules, Millis{1000}, allowance);
   }
   REQUIRE_FALSE(TakeRepeat(rules, 0, Millis{1000}, allowance));
-  // The window has passed; nothing is owed and nothing is saved up.
+  // After the window has passed, nothing is owed and nothing is saved up.
   REQUIRE_FALSE(TakeRepeat(rules, 0, Millis{30'000}, allowance));
 }
 
@@ -152,42 +174,44 @@
   return report;
 }
 
-TEST_CASE("few repeats go to the same, most valued requests") {
-  // Pattern: every target of a deep service refuses half of its calls. Repeats
-  // for anyone who asks first saved nobody: chains of five calls ended whole in
-  // 5 of 100.
+TEST_CASE("scarce repeats go to the same requests of highest priority") {
+  // Every target of a service deep in the chain refuses half of its calls. When
+  // repeats were granted in order of arrival, only 5 of 100 chains of five
+  // calls completed.
   RepeatRules rules;
   RepeatAllowance allowance;
   constexpr int kCalls = 5;
-  std::map<std::uint32_t, std::pair<int, int>> whole;
+  std::map<std::uint32_t, std::pair<int, int>> counts;
   std::mt19937_64 random(3);
   std::uniform_real_distribution<double> draw(0, 1);
   for (int i = 0; i < 20'000; ++i) {
-    // A hundred chains a second; a third of each priority.
+    // A hundred chains per second, a third of them of each priority.
     const Millis now{1000 + i * 10};
     const std::uint32_t priority = static_cast<std::uint32_t>(i) % 3;
     const double place = RepeatPlace({priority, kCalls, 0, random()});
-    bool is_whole = true;
-    for (int call = 0; call < kCalls && is_whole; ++call) {
+    bool is_complete = true;
+    for (int call = 0; call < kCalls && is_complete; ++call) {
       NoteRequest(rules, now, allowance);
-      is_whole =
+      is_complete =
           draw(random) < 0.5 ||
           (TakeRepeat(rules, place, now, allowance) && draw(random) < 0.5);
     }
-    ++whole[priority].first;
-    whole[priority].second += is_whole ? 1 : 0;
+    ++counts[priority].first;
+    counts[priority].second += is_complete ? 1 : 0;
   }
-  const auto share = [&whole](std::uint32_t priority) {
-    return static_cast<double>(whole[priority].second) / whole[priority].first;
+  const auto share = [&counts](std::uint32_t priority) {
+    return static_cast<double>(counts[priority].second) /
+           counts[priority].first;
   };
-  // All calls sent again at most once: 0.75 to the fifth, 0.24. None: 0.03.
+  // With each call repeated at most once 0.75 to the fifth power, 0.24, of the
+  // chains complete, and 0.03 without repeats.
   REQUIRE(share(0) > 0.1);
   REQUIRE(share(0) > 2 * share(2));
 }
 
-TEST_CASE("where requests are few, the last in order is sent again too") {
-  // Found by a test on processes: of ten requests, the only ones there were,
-  // two got no repeat although nobody else needed one.
+TEST_CASE("with few requests the last in the order is repeated too") {
+  // With only ten requests, the last two in the order were denied a repeat
+  // although no other request needed one.
   RepeatRules rules;
   rules.fixed = 40;
   rules.nodes = 2;
@@ -198,7 +222,7 @@
   }
 }
 
-TEST_CASE("the place of a request is by priority first") {
+TEST_CASE("the order of requests for repeats is by priority first") {
   const auto place = [](std::uint32_t priority, double calls,
                         std::uint64_t hash) {
     return RepeatPlace({priority, calls, 0, hash});
@@ -207,11 +231,12 @@
   REQUIRE(place(1, 8, ~0ULL) < place(2, 1, 0));
   REQUIRE(place(7, 8, ~0ULL) < 1);
   REQUIRE(place(2, 1, 1ULL << 40) < place(2, 1, 1ULL << 50));
-  // Among equals first what one repeat makes whole.
+  // Among requests of equal priority, those that a single repeat completes come
+  // first.
   REQUIRE(place(2, 1, ~0ULL) < place(2, 4, 0));
 }
 
-TEST_CASE("what has most of its chain behind it is sent again first") {
+TEST_CASE("requests with most of their chain done are repeated first") {
   const auto place = [](std::uint32_t done, std::uint64_t hash) {
     return RepeatPlace({1, 4, done, hash});
   };
@@ -219,13 +244,13 @@
   REQUIRE(place(2, ~0ULL) < place(1, 0));
   REQUIRE(place(1, ~0ULL) < place(0, 0));
   REQUIRE(place(0, 1ULL << 40) < place(0, 1ULL << 50));
-  // Never before a more urgent one.
+  // Never before a request of higher priority.
   REQUIRE(RepeatPlace({0, 4, 0, ~0ULL}) < place(3, 0));
 }
 
-TEST_CASE("a late report of an ended instance does not bring it back") {
-  // Pattern: a report that was held up arrives after its sender has ended and
-  // another instance took over the address.
+TEST_CASE("a late report of an ended instance does not restore it") {
+  // A delayed report arrives after its sender has ended and another instance
+  // has taken over the address.
   InstanceLedger ledger;
   TakeReport(Millis{0}, Report("old", 7), ledger);
   REQUIRE(TakeReport(Millis{1}, Report("new", 1), ledger) ==
@@ -235,7 +260,7 @@
   REQUIRE(ledger.current.start.id == "new");
 }
 
-TEST_CASE("one that was replaced by mistake comes back by a newer report") {
+TEST_CASE("an instance replaced by mistake is restored by a newer report") {
   InstanceLedger ledger;
   TakeReport(Millis{0}, Report("living", 7), ledger);
   TakeReport(Millis{1}, Report("late", 3), ledger);
@@ -244,9 +269,9 @@
   REQUIRE(ledger.current.start.id == "living");
 }
 
-TEST_CASE("an instance that leaves stays leaving, also over a restart") {
-  // Pattern: the node is restarted after it acknowledged the leave; peers
-  // remember it; a ready report that was under way arrives late.
+TEST_CASE("a leaving instance stays leaving across a restart of its node") {
+  // The node restarts after it has acknowledged the leave. Its peers still know
+  // of it, and a delayed ready report arrives.
   InstanceLedger ledger;
   RememberLeft(Millis{0}, {"going", 0}, ledger);
   REQUIRE(ledger.phase == InstancePhase::kNone);
@@ -254,7 +279,7 @@
   REQUIRE(ledger.phase == InstancePhase::kLeaving);
 }
 
-TEST_CASE("a leave without a report counts, and not again") {
+TEST_CASE("a leave without a report is applied once") {
   InstanceLedger ledger;
   TakeReport(Millis{0}, Report("a", 1), ledger);
   REQUIRE(TakeLeave(Millis{5}, {"a", 0}, ledger) == ReportEffect::kChanged);
@@ -263,7 +288,7 @@
   REQUIRE(TakeLeave(Millis{9}, {"b", 0}, ledger) == ReportEffect::kIgnored);
 }
 
-TEST_CASE("a leaving instance does not displace a living one") {
+TEST_CASE("a leaving instance does not replace a live one") {
   InstanceLedger ledger;
   TakeReport(Millis{0}, Report("living", 1), ledger);
   InstanceReport leaving = Report("other", 5);
@@ -272,7 +297,7 @@
   REQUIRE(ledger.current.start.id == "living");
 }
 
-TEST_CASE("the last slots of an instance stay free") {
+TEST_CASE("a few slots of an instance stay unused") {
   InstanceLedger ledger;
   REQUIRE(UsableSlots(ledger) == 0);
   InstanceReport report = Report("a", 1);
@@ -282,21 +307,26 @@
 }
 
 TEST_CASE("a request waits for a target only while one is expected") {
-  const Millis aim{1000};
+  const Millis latency_target{1000};
   const Millis left{4000};
-  // Found on the days that end with all hosts losing power: in the second and a
-  // half until all targets had reported themselves, calls of roots that were
-  // let in were refused, and the roots failed.
+  // When all hosts lose power, it takes one and a half seconds until all
+  // targets have reported themselves. Calls of admitted root requests that were
+  // refused in this time failed the whole request.
   const Millis report{3000};
-  REQUIRE(WaitForTarget(report, Millis{100}, false, aim, left) == Millis{2900});
-  REQUIRE(WaitForTarget(report, Millis{100}, true, aim, left) == Millis{500});
-  REQUIRE(WaitForTarget(report, Millis{2800}, true, aim, left) == Millis{200});
-  REQUIRE(WaitForTarget(report, Millis{3000}, false, aim, left) == Millis{0});
-  REQUIRE(WaitForTarget(report, Millis{60'000}, true, aim, left) == Millis{0});
-  REQUIRE(WaitForTarget(report, Millis{100}, false, aim, Millis{200}) ==
-          Millis{170});
-  REQUIRE(WaitForTarget(report, Millis{100}, false, aim, Millis{10}) ==
+  REQUIRE(MaxWaitForTarget(report, Millis{100}, false, latency_target, left) ==
+          Millis{2900});
+  REQUIRE(MaxWaitForTarget(report, Millis{100}, true, latency_target, left) ==
+          Millis{500});
+  REQUIRE(MaxWaitForTarget(report, Millis{2800}, true, latency_target, left) ==
+          Millis{200});
+  REQUIRE(MaxWaitForTarget(report, Millis{3000}, false, latency_target, left) ==
           Millis{0});
+  REQUIRE(MaxWaitForTarget(report, Millis{60'000}, true, latency_target,
+                           left) == Millis{0});
+  REQUIRE(MaxWaitForTarget(report, Millis{100}, false, latency_target,
+                           Millis{200}) == Millis{170});
+  REQUIRE(MaxWaitForTarget(report, Millis{100}, false, latency_target,
+                           Millis{10}) == Millis{0});
 }
 
 }  // namespace
