--- a/almondlinkd/at_most_once.cc
+++ b/almondlinkd/at_most_once.cc
@@ -32,7 +32,7 @@
   key.node = NodeId(this->shared.settings.node.id);
   key.incarnation = this->shared.incarnation;
   key.sequence = ++this->minted;
-  key.made = WallNow();
+  key.created_at = WallNow();
   key.mac = this->MacOf(key);
   return control::MintedKeyText(key);
 }
@@ -67,13 +67,13 @@
 void AtMostOnce::Join(const KeyedCall& call, KeyEntry& entry) {
   const bool is_under_way = entry.state == KeyState::kClaiming ||
                             entry.state == KeyState::kDispatched ||
-                            entry.running != 0;
+                            entry.running_call != 0;
   if (is_under_way) {
-    entry.waiting.push_back(call.ticket.Value());
+    entry.waiting_calls.push_back(call.ticket.Value());
     return;
   }
   switch (entry.state) {
-    case KeyState::kHeld:
+    case KeyState::kOwned:
       if (this->shared.is_draining.load()) {
         this->Finish(call.ticket, ErrorKind::kDraining);
       } else {
@@ -101,13 +101,13 @@
   // Keys are forgotten only well after they expire, so one that is not known
   // and not too old was never used.
   const ErrorKind age =
-      control::CheckKeyAge(minted.made, WallNow(), this->Lifetime());
+      control::CheckKeyAge(minted.created_at, WallNow(), this->Lifetime());
   if (age != ErrorKind::kNone) {
     this->Finish(call.ticket, ErrorKind::kKeyExpired);
     return;
   }
   KeyEntry* entry = control::AddKey(this->limits, MonotonicNow(), call.key,
-                                    KeyState::kHeld, this->keys);
+                                    KeyState::kOwned, this->keys);
   if (entry == nullptr) {
     this->Finish(call.ticket, ErrorKind::kOverloaded);
     return;
@@ -156,8 +156,8 @@
     return;
   }
   if (result.outcome == record_log::ClaimOutcome::kWon) {
-    entry->state = KeyState::kHeld;
-    entry->waiting.insert(entry->waiting.begin(), ticket.Value());
+    entry->state = KeyState::kOwned;
+    entry->waiting_calls.insert(entry->waiting_calls.begin(), ticket.Value());
     this->RunNext(*entry);
     return;
   }
@@ -168,7 +168,7 @@
   } else {
     answer.error = static_cast<std::uint32_t>(ErrorKind::kLogUnavailable);
   }
-  const std::vector<std::uint64_t> waiting = std::move(entry->waiting);
+  const std::vector<std::uint64_t> waiting = std::move(entry->waiting_calls);
   control::RemoveKey(key, this->keys);
   this->hooks.finish(ticket, answer);
   for (const std::uint64_t other : waiting) {
@@ -177,15 +177,15 @@
 }
 
 void AtMostOnce::Run(control::Ticket ticket, KeyEntry& entry) {
-  entry.running = ticket.Value();
+  entry.running_call = ticket.Value();
   this->hooks.admit(ticket);
 }
 
 /// The first call that still waits runs the key.
 void AtMostOnce::RunNext(KeyEntry& entry) {
-  while (!entry.waiting.empty()) {
-    const control::Ticket next(entry.waiting.front());
-    entry.waiting.erase(entry.waiting.begin());
+  while (!entry.waiting_calls.empty()) {
+    const control::Ticket next(entry.waiting_calls.front());
+    entry.waiting_calls.erase(entry.waiting_calls.begin());
     if (this->hooks.is_open(next)) {
       this->Run(next, entry);
       return;
@@ -195,13 +195,13 @@
 
 bool AtMostOnce::TakeDispatch(const std::string& key) {
   KeyEntry* entry = control::FindKey(key, this->keys);
-  return entry != nullptr && control::TakeDispatch(*entry);
+  return entry != nullptr && control::BeginDispatch(*entry);
 }
 
 void AtMostOnce::Settle(KeyEntry& entry, const wire::Answer& answer) {
-  entry.running = 0;
-  const std::vector<std::uint64_t> waiting = std::move(entry.waiting);
-  entry.waiting.clear();
+  entry.running_call = 0;
+  const std::vector<std::uint64_t> waiting = std::move(entry.waiting_calls);
+  entry.waiting_calls.clear();
   for (const std::uint64_t ticket : waiting) {
     this->hooks.finish(control::Ticket(ticket), answer);
   }
@@ -210,7 +210,7 @@
 void AtMostOnce::OnRefused(const std::string& key, const wire::Answer& answer) {
   KeyEntry* entry = control::FindKey(key, this->keys);
   if (entry != nullptr) {
-    control::ReturnDispatch(*entry);
+    control::RevertDispatch(*entry);
     this->Settle(*entry, answer);
   }
 }
@@ -225,7 +225,7 @@
   if (kind == ErrorKind::kNone) {
     control::RecordAnswer(this->limits, answer, *entry, this->keys);
   } else if (AnswerFor(kind).verdict == Verdict::kNotRun) {
-    control::ReturnDispatch(*entry);
+    control::RevertDispatch(*entry);
   } else {
     entry->state = KeyState::kUnknown;
   }
@@ -234,10 +234,10 @@
 
 void AtMostOnce::OnAbandoned(control::Ticket ticket, const std::string& key) {
   KeyEntry* entry = control::FindKey(key, this->keys);
-  const bool was_next = entry != nullptr && entry->state == KeyState::kHeld &&
-                        entry->running == ticket.Value();
+  const bool was_next = entry != nullptr && entry->state == KeyState::kOwned &&
+                        entry->running_call == ticket.Value();
   if (was_next) {
-    entry->running = 0;
+    entry->running_call = 0;
     this->RunNext(*entry);
   }
 }
@@ -248,8 +248,9 @@
 }
 
 void AtMostOnce::Forget() {
-  control::ForgetKeys(MonotonicNow(),
-                      this->Lifetime() + control::kClockSkew * 2, this->keys);
+  control::ExpireKeys(MonotonicNow(),
+                      this->Lifetime() + control::kMaxClockSkew * 2,
+                      this->keys);
 }
 
 void AtMostOnce::Finish(control::Ticket ticket, ErrorKind kind) {
--- a/almondlinkd/classify.cc
+++ b/almondlinkd/classify.cc
@@ -140,7 +140,7 @@
   if (!made.has_value() && !minted.has_value()) {
     return Fail(ErrorKind::kBadKey, "");
   }
-  call.key_made = made.has_value() ? *made : minted->made;
+  call.key_made = made.has_value() ? *made : minted->created_at;
   const Millis lifetime = call.view->in_force->bundle->key_lifetime;
   const ErrorKind age =
       control::CheckKeyAge(call.key_made, input.wall_now, lifetime);
--- a/almondlinkd/entry_ends.cc
+++ b/almondlinkd/entry_ends.cc
@@ -34,9 +34,9 @@
   const Millis advice =
       retry_after >= Millis{0} ? retry_after : row.retry_after;
   if (!entry->call.parent.has_value()) {
-    control::NoteFailedRequest(MonotonicNow(), entry->hash, advice,
-                               row.verdict == Verdict::kOutcomeUnknown,
-                               this->repeats);
+    control::RecordFailedRequest(MonotonicNow(), entry->hash, advice,
+                                 row.verdict == Verdict::kOutcomeUnknown,
+                                 this->repeats);
   }
   this->Finish(entry, honest, server::ErrorToAnswer(honest, retry_after, ""));
 }
@@ -46,7 +46,7 @@
   const bool is_earlier_unknown =
       !entry.call.key.empty() &&
       (entry.call.is_declared_repeat ||
-       control::WasUnknown(entry.arrived, entry.hash, this->repeats));
+       control::HadUnknownOutcome(entry.arrived, entry.hash, this->repeats));
   const bool is_not_run = AnswerFor(kind).verdict == Verdict::kNotRun;
   return is_earlier_unknown && is_not_run ? ErrorKind::kDuplicate : kind;
 }
--- a/almondlinkd/entry_sends.cc
+++ b/almondlinkd/entry_sends.cc
@@ -189,7 +189,7 @@
   failed.is_server_error = kind == ErrorKind::kNone;
   failed.is_repeatable = entry->call.operation->is_repeatable;
   failed.attempts = entry->attempts;
-  failed.left = entry->call.deadline - MonotonicNow();
+  failed.time_left = entry->call.deadline - MonotonicNow();
   failed.has_other_target = this->HasOtherTarget(*entry);
   // Pressure deeper in the chain is the same behind every target.
   const bool is_deeper = answer.downstream > 0;
--- a/almondlinkd/node.cc
+++ b/almondlinkd/node.cc
@@ -192,7 +192,7 @@
       return;
     }
     this->claims->SetClaimLife(view->in_force->bundle->key_lifetime +
-                               control::kClockSkew * 2);
+                               control::kMaxClockSkew * 2);
     this->claims->SetInterval(ClaimInterval(*view->in_force->bundle,
                                             *this->shared->routes.Read(),
                                             this->settings.log.claim_appends));
--- a/almondlinkd/target_ends.cc
+++ b/almondlinkd/target_ends.cc
@@ -31,12 +31,12 @@
 }
 
 wire::EndsEntry EntryOf(const control::RequestDigest& digest,
-                        const control::BlameRecord& record,
+                        const control::QuarantineRecord& record,
                         Millis now) {
   wire::EndsEntry entry = EntryOf(digest);
-  entry.starts = record.starts;
+  entry.starts = record.crashed_incarnations;
   entry.failed_trials = record.failed_trials;
-  entry.age_ms = (now - record.last_end).count;
+  entry.age_ms = (now - record.last_crash).count;
   return entry;
 }
 
@@ -59,7 +59,7 @@
 
 bool TargetEnds::IsBlank(const wire::Call& call) const {
   return this->table.records.empty() ||
-         !control::KnowsPath(relay::PathHashOf(call.path), this->table);
+         !control::HasRecordForPath(relay::PathHashOf(call.path), this->table);
 }
 
 /// The same on all nodes that see the same targets. Moves on with time, so that
@@ -84,15 +84,15 @@
     return {};
   }
   const control::RequestDigest digest = this->DigestOf(call);
-  const control::BlameVerdict verdict =
-      control::Judge(this->rules, now, digest, this->table);
-  if (verdict.step == control::BlameStep::kGo) {
+  const control::QuarantineDecision verdict =
+      control::DecideQuarantine(this->rules, now, digest, this->table);
+  if (verdict.action == control::QuarantineAction::kAllow) {
     return {};
   }
   EndsStep step;
   step.may_run = false;
   step.wait = verdict.wait;
-  if (verdict.step == control::BlameStep::kTry) {
+  if (verdict.action == control::QuarantineAction::kTrial) {
     step.place = this->PlaceOf(digest);
     step.wait = kTrialWait;
     step.may_run =
@@ -133,14 +133,15 @@
       continue;
     }
     const control::RequestDigest digest = this->DigestOf(ended.call);
-    const control::TargetEnd end{start, ended.is_on_trial};
-    if (!control::NoteTargetEnd(this->rules, now, digest, end, this->table)) {
+    const control::TargetCrash end{start, ended.is_on_trial};
+    if (!control::RecordTargetCrash(this->rules, now, digest, end,
+                                    this->table)) {
       continue;
     }
-    const control::BlameRecord& record = this->table.records[digest];
+    const control::QuarantineRecord& record = this->table.records[digest];
     LogEvent(kEventUnderWayAtEnd,
              {{"digest", control::ToString(digest)},
-              {"ends", std::to_string(record.starts.size())},
+              {"ends", std::to_string(record.crashed_incarnations.size())},
               {"failed_trials", std::to_string(record.failed_trials)}});
     news.entries.push_back(EntryOf(digest, record, now));
     if (news.entries.size() >= kMostTold) {
@@ -157,7 +158,7 @@
     return;
   }
   const control::RequestDigest digest = this->DigestOf(call);
-  if (!control::NoteWholeRun(this->rules, now, digest, this->table)) {
+  if (!control::RecordCompletedRun(this->rules, now, digest, this->table)) {
     return;
   }
   wire::EndsNews news;
@@ -170,14 +171,14 @@
   for (const wire::EndsEntry& entry : news.entries) {
     const control::RequestDigest digest{entry.path, entry.high, entry.low};
     if (entry.is_whole) {
-      control::NoteWholeRun(this->rules, now, digest, this->table);
+      control::RecordCompletedRun(this->rules, now, digest, this->table);
       continue;
     }
-    control::BlameRecord told;
-    told.starts = entry.starts;
+    control::QuarantineRecord told;
+    told.crashed_incarnations = entry.starts;
     told.failed_trials = entry.failed_trials;
-    told.last_end = now - Millis{entry.age_ms};
-    control::MergeBlame(this->rules, now, digest, told, this->table);
+    told.last_crash = now - Millis{entry.age_ms};
+    control::MergeQuarantine(this->rules, now, digest, told, this->table);
   }
 }
 
@@ -186,11 +187,11 @@
     return;
   }
   this->told_at = now;
-  control::ForgetOldBlame(this->rules, now, this->table);
+  control::ExpireQuarantine(this->rules, now, this->table);
   wire::EndsNews news;
   for (const auto& [digest, record] : this->table.records) {
-    const bool is_fresh =
-        !record.starts.empty() && now - record.last_end < kTellFor;
+    const bool is_fresh = !record.crashed_incarnations.empty() &&
+                          now - record.last_crash < kTellFor;
     if (is_fresh && news.entries.size() < kMostTold) {
       news.entries.push_back(EntryOf(digest, record, now));
     }
--- a/almondlinkd/target_ends.h
+++ b/almondlinkd/target_ends.h
@@ -8,17 +8,17 @@
 
 #include "almondlink/base/clock.h"
 #include "almondlink/control/admission.h"
-#include "almondlink/control/blame.h"
+#include "almondlink/control/quarantine.h"
 #include "almondlink/wire/messages.generated.h"
 #include "almondlinkd/shared_state.h"
 
 /// Requests that end the targets that run them, at the node beside a target.
 ///
-/// The rules are those of almondlink/control/blame.h. The node beside a target
-/// knows for certain when its process is gone and what it was running; it tells
-/// all nodes. What may run is decided there as well, just before it is sent, so
-/// that nothing has to be asked for: a request that two targets ended under
-/// runs at one target only, which all nodes choose alike by the request's
+/// The rules are those of almondlink/control/quarantine.h. The node beside a
+/// target knows for certain when its process is gone and what it was running;
+/// it tells all nodes. What may run is decided there as well, just before it is
+/// sent, so that nothing has to be asked for: a request that two targets ended
+/// under runs at one target only, which all nodes choose alike by the request's
 /// digest, and which runs one such request at a time.
 namespace almondlink::daemon {
 
@@ -77,8 +77,8 @@
 
   const SharedState& shared;
   const EndsHooks hooks;
-  const control::BlameRules rules;
-  control::BlameTable table;
+  const control::QuarantineRules rules;
+  control::QuarantineTable table;
   std::optional<control::Ticket> trial;
   /// Ends of the own target, to tell its starts apart.
   std::uint64_t ends = 0;
--- a/almondlinkd/target_views.cc
+++ b/almondlinkd/target_views.cc
@@ -85,7 +85,7 @@
 
 void TargetViews::NoteSent(Millis now, control::TargetView& view) const {
   ++view.in_flight;
-  control::NoteSent(now, view.health);
+  control::RecordSent(now, view.health);
 }
 
 void TargetViews::Learn(const std::string& service,
@@ -101,11 +101,11 @@
   const ErrorKind kind = ErrorKindFrom(answer.error);
   view.in_flight -= std::min(view.in_flight, 1U);
   const bool is_fault = IsTargetFault(kind) || IsOwnServerError(answer);
-  const bool was_good = view.health.state == control::HealthState::kGood;
-  if (control::NoteHealth(control::HealthRules(), now, is_fault, 0,
-                          view.health)) {
+  const bool was_good = view.health.state == control::HealthState::kHealthy;
+  if (control::RecordOutcome(control::HealthRules(), now, is_fault, 0,
+                             view.health)) {
     LogEvent(kEventTargetSetAside, {{"target", node}});
-  } else if (!was_good && view.health.state == control::HealthState::kGood) {
+  } else if (!was_good && view.health.state == control::HealthState::kHealthy) {
     LogEvent(kEventTargetBack, {{"target", node}});
   }
   const bool is_from_node =
--- a/bench/node_cost.cc
+++ b/bench/node_cost.cc
@@ -117,7 +117,7 @@
     batch.keys = {almondlink::test::FreshKey()};
     almondlink::control::ApplyClaims(static_cast<std::uint64_t>(i), batch,
                                      almondlink::Millis{i}, claims);
-    claims.records.erase(batch.record_id);
+    claims.record_ids.erase(batch.record_id);
   }
   std::printf("per key of the claim fold: %.3f kB\n",
               (OwnResidentKb() - before) / kKeys);
--- a/libs/control/include/almondlink/control/answer_match.h
+++ b/libs/control/include/almondlink/control/answer_match.h
@@ -12,10 +12,10 @@
 namespace almondlink::control {
 
 /// The id in an answer, compared with that of the request under way.
-enum class AnswerId { kMissing, kOwn, kOther };
+enum class AnswerId { kMissing, kMatching, kMismatching };
 
 /// What becomes of an answer.
-enum class AnswerUse {
+enum class AnswerAction {
   kDeliver,
   /// It is an earlier request's; the own one may follow.
   kSkip,
@@ -26,17 +26,17 @@
 /// What is known of a connection.
 struct ConnectionTrust {
   /// The request under way is the first one on it.
-  bool is_fresh = true;
+  bool is_first_request = true;
   /// The operator vouches for a target that does not return ids.
-  bool needs_no_id = false;
+  bool is_id_optional = false;
 };
 
 /// What to do with a whole answer.
-AnswerUse UseOfAnswer(const ConnectionTrust& trust, AnswerId id);
+AnswerAction ActionForAnswer(const ConnectionTrust& trust, AnswerId id);
 
 /// Whether another request may follow on the connection after an answer that
 /// was delivered.
-bool MayFollow(const ConnectionTrust& trust, AnswerId id);
+bool MayReuseConnection(const ConnectionTrust& trust, AnswerId id);
 
 }  // namespace almondlink::control
 
--- a/libs/control/include/almondlink/control/caller_repeats.h
+++ b/libs/control/include/almondlink/control/caller_repeats.h
@@ -15,36 +15,38 @@
 /// attempt again: the caller did what it was asked.
 namespace almondlink::control {
 
-constexpr Millis kRepeatLife{10'000};
+constexpr Millis kCallerRepeatWindow{10'000};
 
 /// One failed request.
 struct FailedRequest {
   std::uint64_t hash = 0;
-  Millis failed;
-  Millis come_back;
+  Millis failed_at;
+  Millis retry_at;
   /// The caller was told that the outcome is unknown.
-  bool is_unknown = false;
+  bool is_outcome_unknown = false;
 };
 
 /// Fixed-size memory of failed requests: a hash picks the place and a later one
 /// overwrites. Not thread safe; one per entry thread.
 struct CallerRepeats {
-  std::vector<FailedRequest> places;
+  std::vector<FailedRequest> slots;
 };
 
 /// Makes a memory of `places` entries.
-CallerRepeats MakeCallerRepeats(std::size_t places);
+CallerRepeats MakeCallerRepeats(std::size_t slots);
 
 /// Notes that the request was refused or failed; `retry_after` negative for no
 /// advice. `is_unknown` stays set by later failures of the same request.
-void NoteFailedRequest(Millis now,
-                       std::uint64_t hash,
-                       Millis retry_after,
-                       bool is_unknown,
-                       CallerRepeats& repeats);
+void RecordFailedRequest(Millis now,
+                         std::uint64_t hash,
+                         Millis retry_after,
+                         bool is_outcome_unknown,
+                         CallerRepeats& repeats);
 
 /// Whether an earlier try of this request had an unknown outcome.
-bool WasUnknown(Millis now, std::uint64_t hash, const CallerRepeats& repeats);
+bool HadUnknownOutcome(Millis now,
+                       std::uint64_t hash,
+                       const CallerRepeats& repeats);
 
 /// Whether the request repeats a failed one too early.
 bool IsEarlyRepeat(Millis now,
--- a/libs/control/include/almondlink/control/claims.h
+++ b/libs/control/include/almondlink/control/claims.h
@@ -30,7 +30,7 @@
   Incarnation incarnation{0};
   std::uint64_t offset = 0;
   /// When this node learned of it.
-  Millis seen;
+  Millis learned_at;
 };
 
 /// State of the fold. Plain data; one thread at a time.
@@ -41,12 +41,12 @@
   /// still matter: claims cannot be decided until keys of that time expire.
   bool has_gap = false;
   /// No key made before this time may be decided (wall clock).
-  Millis blind_before;
+  Millis undecidable_before;
   std::unordered_map<std::string, Claim> by_key;
   /// Keys in the order they were learned.
   std::deque<std::string> order;
   /// Record ids that were applied, with their age, newest last.
-  std::unordered_set<std::string> records;
+  std::unordered_set<std::string> record_ids;
   std::deque<std::pair<std::string, Millis>> record_order;
 };
 
@@ -59,7 +59,9 @@
 
 /// Notes that reading starts at `first_retained`, or goes on there after a
 /// gap. `lifetime` is the longest time a key may be used.
-void StartClaims(std::uint64_t first_retained, Millis wall_now, Claims& claims);
+void SkipToRetained(std::uint64_t first_retained,
+                    Millis wall_now,
+                    Claims& claims);
 
 /// The claim on a key, or null. Valid until the next change.
 const Claim* FindClaim(const std::string& key, const Claims& claims);
@@ -68,11 +70,11 @@
 bool HasRecord(const std::string& record_id, const Claims& claims);
 
 /// Forgets claims learned longer than `age` ago.
-void ForgetClaims(Millis now, Millis age, Claims& claims);
+void ExpireClaims(Millis now, Millis age, Claims& claims);
 
 /// Whether a key made at `made` (wall clock) can be decided: the log's records
 /// from its whole life were read.
-bool CanDecide(Millis made, const Claims& claims);
+bool CanDecide(Millis created_at, const Claims& claims);
 
 }  // namespace almondlink::control
 
--- a/libs/control/include/almondlink/control/error_share.h
+++ b/libs/control/include/almondlink/control/error_rate.h
@@ -1,5 +1,5 @@
-#ifndef ALMONDLINK_CONTROL_ERROR_SHARE_H_
-#define ALMONDLINK_CONTROL_ERROR_SHARE_H_
+#ifndef ALMONDLINK_CONTROL_ERROR_RATE_H_
+#define ALMONDLINK_CONTROL_ERROR_RATE_H_
 
 #include "almondlink/base/clock.h"
 
@@ -18,22 +18,22 @@
 namespace almondlink::control {
 
 /// Plain data; one thread at a time.
-struct ErrorShare {
+struct ErrorRate {
   /// Part of the last few dozen answers, at the time of the last.
-  double share = 0;
-  Millis answered;
+  double rate = 0;
+  Millis last_answer;
 };
 
-void NoteAnswer(Millis now, bool is_error, ErrorShare& errors);
+void UpdateErrorRate(Millis now, bool is_error, ErrorRate& errors);
 
 /// The part that is believed now, 0 to 1.
-double ErrorsNow(Millis now, const ErrorShare& errors);
+double CurrentErrorRate(Millis now, const ErrorRate& errors);
 
 /// How much of a target's errors stands out from those of its service's other
 /// targets, 0 to 1; `others`: their mean. Single failures of an application do
 /// not.
-double ErrorsOver(double share, double others);
+double ExcessErrorRate(double rate, double others);
 
 }  // namespace almondlink::control
 
-#endif  // ALMONDLINK_CONTROL_ERROR_SHARE_H_
+#endif  // ALMONDLINK_CONTROL_ERROR_RATE_H_
--- a/libs/control/include/almondlink/control/idempotency_key.h
+++ b/libs/control/include/almondlink/control/idempotency_key.h
@@ -18,14 +18,14 @@
 namespace almondlink::control {
 
 /// Tolerated difference between the clocks of callers and nodes.
-constexpr Millis kClockSkew{30'000};
+constexpr Millis kMaxClockSkew{30'000};
 
 /// A key that a node minted.
 struct MintedKey {
   NodeId node;
   Incarnation incarnation{0};
   std::uint64_t sequence = 0;
-  Millis made;
+  Millis created_at;
   /// HMAC over everything before it, hexadecimal.
   std::string mac;
 };
@@ -43,10 +43,10 @@
 std::optional<Millis> TimeOfUuid7(const std::string& text);
 
 /// Text of a UUID version 7 made at `made` with the given random bits.
-std::string MakeUuid7(Millis made, std::uint64_t high, std::uint64_t low);
+std::string MakeUuid7(Millis created_at, std::uint64_t high, std::uint64_t low);
 
 /// kNone if a key made at `made` may be used at `now`, else kKeyExpired.
-ErrorKind CheckKeyAge(Millis made, Millis now, Millis lifetime);
+ErrorKind CheckKeyAge(Millis created_at, Millis now, Millis lifetime);
 
 }  // namespace almondlink::control
 
--- a/libs/control/include/almondlink/control/instance_ledger.h
+++ b/libs/control/include/almondlink/control/instance_tracker.h
@@ -1,5 +1,5 @@
-#ifndef ALMONDLINK_CONTROL_INSTANCE_LEDGER_H_
-#define ALMONDLINK_CONTROL_INSTANCE_LEDGER_H_
+#ifndef ALMONDLINK_CONTROL_INSTANCE_TRACKER_H_
+#define ALMONDLINK_CONTROL_INSTANCE_TRACKER_H_
 
 #include <cstdint>
 #include <map>
@@ -26,60 +26,63 @@
 enum class InstancePhase { kNone, kReady, kLeaving };
 
 /// One start of an instance.
-struct InstanceStart {
+struct InstanceIncarnation {
   std::string id;
   /// Wall-clock time of the start in milliseconds; 0 if it was not told.
-  std::uint64_t born = 0;
+  std::uint64_t started_at = 0;
 };
 
-inline bool operator==(const InstanceStart& a, const InstanceStart& b) {
-  return a.id == b.id && a.born == b.born;
+inline bool operator==(const InstanceIncarnation& a,
+                       const InstanceIncarnation& b) {
+  return a.id == b.id && a.started_at == b.started_at;
 }
-inline bool operator!=(const InstanceStart& a, const InstanceStart& b) {
+inline bool operator!=(const InstanceIncarnation& a,
+                       const InstanceIncarnation& b) {
   return !(a == b);
 }
-inline bool operator<(const InstanceStart& a, const InstanceStart& b) {
-  return a.id != b.id ? a.id < b.id : a.born < b.born;
+inline bool operator<(const InstanceIncarnation& a,
+                      const InstanceIncarnation& b) {
+  return a.id != b.id ? a.id < b.id : a.started_at < b.started_at;
 }
 
 /// What an instance says of itself.
 struct InstanceReport {
-  InstanceStart start;
+  InstanceIncarnation incarnation;
   std::string service;
   std::uint32_t capacity = 0;
   bool is_leaving = false;
   /// Time for which it will still be slow after its start.
-  Millis cold_left;
+  Millis warmup_left;
   /// Grows with every report of one start.
   std::uint64_t sequence = 0;
 };
 
 /// Reports of a start that seems earlier than the current one.
-struct SeeminglyEarlier {
-  InstanceStart start;
+struct SkewCandidate {
+  InstanceIncarnation incarnation;
   /// When the first of its reports came since the current start was last heard.
-  Millis since;
-  std::uint64_t sequence = 0;
+  Millis first_report;
+  std::uint64_t last_sequence = 0;
 };
 
 /// State of one node's ledger. Plain data; one thread at a time.
-struct InstanceLedger {
+struct InstanceTracker {
   InstancePhase phase = InstancePhase::kNone;
   InstanceReport current;
   /// Number of the first report of it that came here.
   std::uint64_t first_sequence = 0;
   /// When the current instance was first known to leave.
   Millis leaving_since;
-  Millis reported;
+  Millis last_report;
   /// Highest sequence seen of starts that are not the current one.
-  std::map<InstanceStart, std::uint64_t> earlier;
+  std::map<InstanceIncarnation, std::uint64_t> superseded;
   /// Starts that are known to leave or to be gone.
-  std::set<InstanceStart> left;
-  SeeminglyEarlier doubted;
+  std::set<InstanceIncarnation> departed;
+  SkewCandidate skew_candidate;
   /// Part of the announced slots that is used. Targets slow down when nearly
   /// full (a third slower above 95 % where it was seen), and a new connection
   /// may hold a slot for a moment.
-  double usable_part = 0.94;
+  double usable_share = 0.94;
 };
 
 enum class ReportEffect {
@@ -92,29 +95,29 @@
 
 /// Takes one report. One without the time of its start counts as of the start
 /// that is current under its id.
-ReportEffect TakeReport(Millis now,
-                        const InstanceReport& report,
-                        InstanceLedger& ledger);
+ReportEffect ApplyReport(Millis now,
+                         const InstanceReport& report,
+                         InstanceTracker& tracker);
 
 /// The instance says that it leaves, without a report. Without the time of its
 /// start it means the start that is current under its id.
-ReportEffect TakeLeave(Millis now,
-                       const InstanceStart& start,
-                       InstanceLedger& ledger);
+ReportEffect ApplyLeave(Millis now,
+                        const InstanceIncarnation& incarnation,
+                        InstanceTracker& tracker);
 
 /// A peer remembers that this start was leaving.
-ReportEffect RememberLeft(Millis now,
-                          const InstanceStart& start,
-                          InstanceLedger& ledger);
+ReportEffect RestoreDeparted(Millis now,
+                             const InstanceIncarnation& incarnation,
+                             InstanceTracker& tracker);
 
 /// Whether the current instance may have run requests before this node started:
 /// none has reported yet, or one that had reported to somebody before.
-bool MayBeOlderThanNode(const InstanceLedger& ledger);
+bool MayBeOlderThanNode(const InstanceTracker& tracker);
 
 /// Slots of the current instance that may be in use: a little below what it
 /// announces, since its last ones slow all others down.
-std::uint32_t UsableSlots(const InstanceLedger& ledger);
+std::uint32_t UsableSlots(const InstanceTracker& tracker);
 
 }  // namespace almondlink::control
 
-#endif  // ALMONDLINK_CONTROL_INSTANCE_LEDGER_H_
+#endif  // ALMONDLINK_CONTROL_INSTANCE_TRACKER_H_
--- a/libs/control/include/almondlink/control/key_table.h
+++ b/libs/control/include/almondlink/control/key_table.h
@@ -25,7 +25,7 @@
   /// A claim is being appended.
   kClaiming,
   /// This incarnation alone may run the key, and has not.
-  kHeld,
+  kOwned,
   /// It was handed to the target.
   kDispatched,
   /// The target answered; the answer is kept unless it was too large.
@@ -37,21 +37,21 @@
 /// One key at this node.
 struct KeyEntry {
   KeyState state = KeyState::kClaiming;
-  Millis since;
+  Millis added_at;
   bool has_answer = false;
   wire::Answer answer;
   std::size_t answer_bytes = 0;
   /// The call that is on its way to the target; 0 for none.
-  std::uint64_t running = 0;
+  std::uint64_t running_call = 0;
   /// Calls that wait for the outcome of the first one.
-  std::vector<std::uint64_t> waiting;
+  std::vector<std::uint64_t> waiting_calls;
 };
 
 /// Limits on memory.
 struct KeyTableLimits {
-  std::size_t entries = 100'000;
-  std::size_t answer_bytes = 16 * 1024 * 1024;
-  std::size_t largest_answer = 64 * 1024;
+  std::size_t max_entries = 100'000;
+  std::size_t max_answer_bytes = 16 * 1024 * 1024;
+  std::size_t max_answer_size = 64 * 1024;
 };
 
 /// All keys of this incarnation. Plain data; one thread at a time.
@@ -73,11 +73,11 @@
 
 /// Takes the one step to kDispatched; false if it was taken before or the key
 /// is not held.
-bool TakeDispatch(KeyEntry& entry);
+bool BeginDispatch(KeyEntry& entry);
 
 /// Takes the step back after it is certain that no byte reached the target, or
 /// that the target refused to run it.
-void ReturnDispatch(KeyEntry& entry);
+void RevertDispatch(KeyEntry& entry);
 
 /// Records the answer. One that is too large leaves kDone without an answer.
 void RecordAnswer(const KeyTableLimits& limits,
@@ -89,7 +89,7 @@
 void RemoveKey(const std::string& key, KeyTable& table);
 
 /// Forgets keys added longer than `age` ago, when nobody waits on them.
-void ForgetKeys(Millis now, Millis age, KeyTable& table);
+void ExpireKeys(Millis now, Millis age, KeyTable& table);
 
 }  // namespace almondlink::control
 
--- a/libs/control/include/almondlink/control/link_silence.h
+++ b/libs/control/include/almondlink/control/link_silence.h
@@ -17,25 +17,25 @@
 struct LinkSilence {
   Millis now;
   /// When anything came from the other end last.
-  Millis heard;
+  Millis last_received;
   /// When the other end was asked last; any time before `heard` if never since.
-  Millis asked;
+  Millis last_ping;
   /// When it was asked first of the questions that nothing came after.
-  Millis first_asked;
+  Millis first_unanswered_ping;
   /// Calls that wait for an answer on the link.
-  std::uint32_t calls_out = 0;
+  std::uint32_t waiting_calls = 0;
 };
 
-enum class SilenceStep {
+enum class SilenceAction {
   kNothing,
   /// Ask for a sign of life.
-  kAsk,
+  kPing,
   /// It may stand still, or the way is cut.
   kSuspect,
 };
 
 /// What to do now. Pure.
-SilenceStep StepOnSilence(const LinkSilence& link);
+SilenceAction EvaluateSilence(const LinkSilence& link);
 
 }  // namespace almondlink::control
 
--- a/libs/control/include/almondlink/control/membership.h
+++ b/libs/control/include/almondlink/control/membership.h
@@ -37,7 +37,7 @@
   /// Updates in one datagram.
   std::size_t updates_per_message = 6;
   /// Times an update is passed on, per binary digit of the group's size.
-  std::uint32_t spread_factor = 3;
+  std::uint32_t retransmit_factor = 3;
   /// Most members that are kept.
   std::size_t max_members = 20'000;
 };
@@ -46,9 +46,9 @@
 struct MemberEntry {
   wire::Member member;
   /// When the state changed here.
-  Millis changed;
+  Millis changed_at;
   /// Times the update was passed on.
-  std::uint32_t passed_on = 0;
+  std::uint32_t transmissions = 0;
 };
 
 /// All members, this node included. Plain data; one thread at a time.
@@ -82,7 +82,7 @@
 
 /// Merges news of one node.
 MergeResult MergeMember(const MembershipRules& rules,
-                        const wire::Member& news,
+                        const wire::Member& update,
                         Millis now,
                         Membership& membership);
 
--- a/libs/control/include/almondlink/control/placement.h
+++ b/libs/control/include/almondlink/control/placement.h
@@ -35,7 +35,7 @@
   /// Mean work of a request there; 0 if unknown.
   double work_ms = 0;
   TargetHealth health;
-  /// Part of its answers that are failures of its own, see error_share.h.
+  /// Part of its answers that are failures of its own, see error_rate.h.
   double erring = 0;
 };
 
@@ -56,7 +56,7 @@
   /// is left.
   double failing_weight = 10;
   /// A request at a target counts as so many milliseconds longer, times the
-  /// part by which its errors stand out from the others' (error_share.h): a
+  /// part by which its errors stand out from the others' (error_rate.h): a
   /// failure costs the whole request. Setting such targets aside was as good
   /// for callers, but leaves nothing where several err in part.
   double error_ms = 0;
--- a/libs/control/include/almondlink/control/policy_source.h
+++ b/libs/control/include/almondlink/control/policy_source.h
@@ -31,15 +31,15 @@
   std::uint32_t followers = 2;
   /// Nodes of a zone that try to follow at most: while the source is away for
   /// all, the rest does not call it in vain.
-  std::uint32_t most_tried = 6;
+  std::uint32_t max_tried = 6;
   /// Another zone's node is asked only this long after a new version was told:
   /// an own follower reads the source at the same moment as the others.
-  Millis elsewhere_wait{150};
+  Millis other_zone_delay{150};
   /// A node that was asked and has not sent the text is passed over after this;
   /// a megabyte takes 0.04 s on a link of 200 Mbit/s, several may wait.
-  Millis answer_wait{400};
+  Millis reply_timeout{400};
   /// After a text that this node could not read, nobody is asked for so long.
-  Millis unread_wait{1000};
+  Millis unreadable_backoff{1000};
 };
 
 /// Whether a node follows the source. `before`: reachable nodes of its zone
@@ -54,7 +54,7 @@
   std::uint64_t version = 0;
   bool is_own_zone = false;
   /// It was asked for a newer policy already and has not sent it.
-  bool is_asked = false;
+  bool is_requested = false;
 };
 
 /// Number of the offer to ask, or none. `own_version`: 0 if the node knows no
--- a/libs/control/include/almondlink/control/blame.h
+++ b/libs/control/include/almondlink/control/quarantine.h
@@ -1,5 +1,5 @@
-#ifndef ALMONDLINK_CONTROL_BLAME_H_
-#define ALMONDLINK_CONTROL_BLAME_H_
+#ifndef ALMONDLINK_CONTROL_QUARANTINE_H_
+#define ALMONDLINK_CONTROL_QUARANTINE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -21,7 +21,7 @@
 /// After one end a request goes on as any other: most ends are nobody's fault,
 /// and all that ran there is served elsewhere. After a second it runs only as a
 /// *trial*: one at a time in the whole deployment, at a target where no other
-/// trial runs (almondlink/control/trial_book.h). A whole run clears it, and
+/// trial runs (almondlink/control/trial_registry.h). A whole run clears it, and
 /// with it everybody who sends the same; the innocent that share two ends with
 /// the guilty one are told apart by that within one run. A target that ends
 /// under a trial proves the request guilty: nothing else that ran there is held
@@ -37,75 +37,75 @@
 
 /// Starts of targets remembered for one request: as many as decisions tell
 /// apart, and some for those that end before the news of it.
-constexpr std::size_t kMostStartsKept = 8;
+constexpr std::size_t kMaxCrashedIncarnations = 8;
 
 /// What is known of one request.
-struct BlameRecord {
+struct QuarantineRecord {
   /// Hashes of the starts of targets that ended under it, each once; the first
   /// few of them.
-  std::vector<std::uint64_t> starts;
+  std::vector<std::uint64_t> crashed_incarnations;
   /// Those that ended while it was on trial.
   std::uint32_t failed_trials = 0;
-  Millis first_end;
+  Millis first_crash;
   /// The last end that it was under way at, laid to it or not.
-  Millis last_end;
+  Millis last_crash;
   /// When a target last lived through a run of it; 0: none did.
-  Millis whole_at;
+  Millis completed_at;
 };
 
-struct BlameRules {
+struct QuarantineRules {
   /// Most requests that are remembered.
-  std::size_t most_records = 1024;
+  std::size_t max_records = 1024;
   /// A request under which one target ended is forgotten after this time, one
   /// with more ends after as much more.
-  Millis memory{600'000};
+  Millis retention{600'000};
   /// Starts that ended under a request, from which on it runs on trial only.
   /// One end is mostly nobody's fault; each further one costs all that ran
   /// there.
-  std::size_t ends_until_trial = 2;
+  std::size_t crashes_until_trial = 2;
   /// Time from a trial that ended its target to the next one.
   Millis trial_pause{60'000};
   /// Trials that may end their target; then the request is refused until it is
   /// forgotten or lifted. Two leave room for one send that the news has not
   /// reached, where three in all are allowed.
-  std::uint32_t most_failed_trials = 2;
+  std::uint32_t max_failed_trials = 2;
   /// How long such a request is remembered.
-  Millis guilty_memory{86'400'000};
+  Millis confirmed_retention{86'400'000};
   /// How long a whole run speaks for a request: longer than a service takes to
   /// lose its targets one after the other.
-  Millis whole_memory{5000};
+  Millis completed_run_validity{5000};
   /// A whole run is told again after this.
-  Millis whole_again{1000};
+  Millis completed_run_interval{1000};
   /// What speaks for a request is of use while targets end; so long after the
   /// last one it is forgotten, and digests of that path are needed no more.
-  Millis quiet{10'000};
+  Millis cleared_retention{10'000};
 };
 
 /// Plain data; one thread at a time.
-struct BlameTable {
-  std::map<RequestDigest, BlameRecord> records;
+struct QuarantineTable {
+  std::map<RequestDigest, QuarantineRecord> records;
 };
 
 /// A start of a target ended.
-struct TargetEnd {
+struct TargetCrash {
   /// Hash of the start.
-  std::uint64_t start = 0;
+  std::uint64_t incarnation = 0;
   /// The request was on trial there.
   bool is_on_trial = false;
 };
 
 /// What may be done with a request.
-enum class BlameStep {
+enum class QuarantineAction {
   /// As with any other.
-  kGo,
+  kAllow,
   /// It may run on trial.
-  kTry,
+  kTrial,
   /// Not now.
   kRefuse,
 };
 
-struct BlameVerdict {
-  BlameStep step = BlameStep::kGo;
+struct QuarantineDecision {
+  QuarantineAction action = QuarantineAction::kAllow;
   /// Until it may be tried again.
   Millis wait;
 };
@@ -113,44 +113,47 @@
 /// The request was under way where a target ended. True if that start is new to
 /// its record. Where the table is full the record with the fewest ends, of
 /// these the oldest, makes room.
-bool NoteTargetEnd(const BlameRules& rules,
-                   Millis now,
-                   const RequestDigest& digest,
-                   const TargetEnd& end,
-                   BlameTable& table);
+bool RecordTargetCrash(const QuarantineRules& rules,
+                       Millis now,
+                       const RequestDigest& digest,
+                       const TargetCrash& end,
+                       QuarantineTable& table);
 
 /// A target lived through a run of the request: what was known of it is
 /// forgotten. True if others should be told.
-bool NoteWholeRun(const BlameRules& rules,
-                  Millis now,
-                  const RequestDigest& digest,
-                  BlameTable& table);
+bool RecordCompletedRun(const QuarantineRules& rules,
+                        Millis now,
+                        const RequestDigest& digest,
+                        QuarantineTable& table);
 
 /// Takes what another node knows of the request.
-void MergeBlame(const BlameRules& rules,
-                Millis now,
-                const RequestDigest& digest,
-                const BlameRecord& told,
-                BlameTable& table);
+void MergeQuarantine(const QuarantineRules& rules,
+                     Millis now,
+                     const RequestDigest& digest,
+                     const QuarantineRecord& reported,
+                     QuarantineTable& table);
 
-BlameVerdict Judge(const BlameRules& rules,
-                   Millis now,
-                   const RequestDigest& digest,
-                   const BlameTable& table);
+QuarantineDecision DecideQuarantine(const QuarantineRules& rules,
+                                    Millis now,
+                                    const RequestDigest& digest,
+                                    const QuarantineTable& table);
 
 /// Forgets what is too old; call every now and then.
-void ForgetOldBlame(const BlameRules& rules, Millis now, BlameTable& table);
+void ExpireQuarantine(const QuarantineRules& rules,
+                      Millis now,
+                      QuarantineTable& table);
 
 /// What is known of the request; null if nothing is.
-const BlameRecord* FindBlame(const RequestDigest& digest,
-                             const BlameTable& table);
+const QuarantineRecord* FindQuarantine(const RequestDigest& digest,
+                                       const QuarantineTable& table);
 
 /// Whether anything is known of a request with this path.
-bool KnowsPath(std::uint64_t path, const BlameTable& table);
+bool HasRecordForPath(std::uint64_t path, const QuarantineTable& table);
 
 /// Whether the request is held to trials, or refused.
-bool IsSuspect(const BlameRules& rules, const BlameRecord& record);
+bool IsQuarantined(const QuarantineRules& rules,
+                   const QuarantineRecord& record);
 
 }  // namespace almondlink::control
 
-#endif  // ALMONDLINK_CONTROL_BLAME_H_
+#endif  // ALMONDLINK_CONTROL_QUARANTINE_H_
--- a/libs/control/include/almondlink/control/quota_lending.h
+++ b/libs/control/include/almondlink/control/quota_lending.h
@@ -5,7 +5,7 @@
 
 #include "almondlink/base/clock.h"
 #include "almondlink/control/demand_meter.h"
-#include "almondlink/control/rate_limit.h"
+#include "almondlink/control/token_bucket.h"
 
 /// One limit of a client account, kept over all nodes together.
 ///
@@ -51,34 +51,34 @@
 
 /// The bucket of one account at its lender. Plain data; one thread at a time.
 struct QuotaBucket {
-  RateLimit tokens;
+  TokenBucket bucket;
   /// Requests turned away for want of tokens, faded out over a second: they
   /// come back, so the next caller has to wait for them as well.
-  double turned_away = 0;
-  Millis turned_away_at;
+  double refused = 0;
+  Millis refused_at;
 };
 
 struct QuotaLoan {
   std::uint32_t granted = 0;
   /// Until there may be a token for one more; 0 if all were granted.
-  Millis next;
+  Millis next_request;
   /// Until there is one for a caller that is turned away now: those turned away
   /// before come back as well.
   Millis wait;
   /// Half of the burst or more is left: the account is well below its limit.
-  bool is_ample = false;
+  bool is_well_below_limit = false;
 };
 
 /// Tokens that a bucket may hold beyond what was earned when its lender has
 /// just become it: a quarter of what the bound leaves besides the limit itself,
 /// so that two changes of lender within a window stay within it.
-double FreshTokens(const QuotaRules& rules, const QuotaLimit& limit);
+double InitialTokens(const QuotaRules& rules, const QuotaLimit& limit);
 
 /// The bucket of a node that has been the account's lender since `since`, and
 /// lends for the first time now. `since` lies in the past.
 QuotaBucket StartBucket(const QuotaRules& rules,
                         const QuotaLimit& limit,
-                        double part,
+                        double share,
                         Millis since,
                         Millis now);
 
@@ -86,7 +86,7 @@
 /// LentPart.
 QuotaLoan Lend(const QuotaRules& rules,
                const QuotaLimit& limit,
-               double part,
+               double share,
                Millis now,
                std::uint32_t wanted,
                QuotaBucket& bucket);
@@ -95,70 +95,72 @@
 /// nodes, itself counted in both. Up to a fourteenth of the nodes may be
 /// missing before it falls: those can lend no more than that on their side, and
 /// the bound leaves a tenth.
-double LentPart(std::uint32_t reached, std::uint32_t known);
+double LendableShare(std::uint32_t reached, std::uint32_t known);
 
 // ---- the borrower's side ----
 
 /// What one node may let in for an account. Plain data; one thread at a time.
-struct QuotaPurse {
+struct QuotaBorrower {
   /// Tokens in stock, and when one was taken or came last.
-  double stock = 0;
-  Millis moved;
+  double tokens = 0;
+  Millis last_used;
   /// Requests here per second, and tokens lent to this node per second.
   RateMeter demand;
   RateMeter lent;
-  Millis rates_at;
+  Millis rates_updated;
   /// An ask is out since then, for so many; 0: none is.
-  std::uint32_t asked = 0;
-  Millis asked_at;
+  std::uint32_t requested = 0;
+  Millis requested_at;
   /// When the ask was sent again last.
-  Millis asked_last;
+  Millis last_request;
   /// When the lender last said anything.
-  Millis heard;
+  Millis last_reply;
   /// The lender has none left before that, and what it said of the wait.
-  Millis empty_until;
+  Millis exhausted_until;
   Millis wait;
-  bool is_ample = false;
+  bool is_well_below_limit = false;
   /// What the node lets in by itself while the lender is silent.
-  RateLimit own;
+  TokenBucket fallback;
 };
 
-enum class QuotaAnswer : std::uint8_t {
+enum class QuotaDecision : std::uint8_t {
   /// A token was taken.
   kTaken,
   /// The account is over its limit.
-  kOver,
+  kOverLimit,
   /// To be asked for.
-  kAsk,
+  kRequestTokens,
 };
 
 /// Decides one request that has just come.
-QuotaAnswer TakeQuota(Millis now, QuotaPurse& purse);
+QuotaDecision TakeQuota(Millis now, QuotaBorrower& borrower);
 
 /// Takes a token for a request that waited for one; it was counted before.
-bool TakeFromStock(Millis now, QuotaPurse& purse);
+bool TakeBorrowed(Millis now, QuotaBorrower& borrower);
 
 /// Puts a token back that was not used: its request did not run.
-void GiveBack(Millis now, QuotaPurse& purse);
+void GiveBack(Millis now, QuotaBorrower& borrower);
 
 /// Tokens to ask the lender for now; 0: nothing. The caller sends the ask.
-std::uint32_t AskFor(Millis now, std::uint32_t waiting, QuotaPurse& purse);
+std::uint32_t TokensToRequest(Millis now,
+                              std::uint32_t waiting,
+                              QuotaBorrower& borrower);
 
 /// Takes the lender's answer.
-void TakeLoan(Millis now, const QuotaLoan& loan, QuotaPurse& purse);
+void ApplyLoan(Millis now, const QuotaLoan& loan, QuotaBorrower& borrower);
 
 /// Whether the lender has not answered for longer than a round trip takes.
-bool IsLenderSilent(Millis now, const QuotaPurse& purse);
+bool IsLenderSilent(Millis now, const QuotaBorrower& borrower);
 
 /// Takes a token of the node's own while the lender is silent.
-bool TakeOwn(Millis now, QuotaPurse& purse);
+bool TakeFallback(Millis now, QuotaBorrower& borrower);
 
 /// Whether a caller waits for a token, which will be there at once, rather than
 /// be turned away with `wait`.
-bool IsWorthWaiting(Millis wait);
+bool IsShortWait(Millis wait);
 
 /// Whether the purse has been of no use for so long that it can be dropped.
-bool IsIdle(Millis now, const QuotaPurse& purse);
+bool IsIdle(Millis now, const QuotaBorrower& borrower);
 
 }  // namespace almondlink::control
 
--- a/libs/control/include/almondlink/control/repeat_allowance.h
+++ b/libs/control/include/almondlink/control/repeat_allowance.h
@@ -44,12 +44,12 @@
 namespace almondlink::control {
 
 /// What a request is that asks to be sent once more.
-struct RepeatWant {
+struct RepeatCandidate {
   std::uint32_t priority = 0;
   /// How many calls its root makes at the service.
-  double calls = 1;
+  double calls_per_root = 1;
   /// Calls of its chain that have been answered there already.
-  std::uint32_t done = 0;
+  std::uint32_t answered_calls = 0;
   /// Of the id of its root request.
   std::uint64_t root_hash = 0;
 };
@@ -62,21 +62,21 @@
   std::uint32_t nodes = 1;
   /// Part of what the ratio allows that is used: the rest is for windows that
   /// slide differently from ours and for what nodes told a moment ago.
-  double used_part = 0.9;
+  double usable_share = 0.9;
   /// How strictly the order is kept: a request is sent again only if what it
   /// and those before it in order ask for, times this part, would fit into a
   /// whole window. 0: whoever asks first. The fixed number is for everyone:
   /// where requests are few, so are failures.
-  double kept_part = 0.9;
+  double order_strictness = 0.9;
   /// The node started anew within the window and nobody remembers what it sent
   /// before: as much of the ratio as `used_part` leaves is used meanwhile.
-  bool is_fresh = false;
-  double fresh_part = 0.08;
+  bool is_restarted = false;
+  double restarted_share = 0.08;
 };
 
 /// Place of a request in the order in which repeats are given when few are
 /// left, from 0 (first) to 1.
-double RepeatPlace(const RepeatWant& want);
+double RepeatRank(const RepeatCandidate& candidate);
 
 /// Slots of a window; any span counts, and a window that begins within a slot
 /// is a twentieth longer here.
@@ -84,7 +84,7 @@
 /// Two windows and the current slot, rounded up.
 constexpr std::size_t kAllowanceSlots = 48;
 /// Places in the order that are told apart when wants are counted.
-constexpr std::size_t kPlaces = 80;
+constexpr std::size_t kRankBuckets = 80;
 
 /// Requests and repeats of one service in the last two windows. Plain data; one
 /// thread at a time.
@@ -93,64 +93,64 @@
   std::array<std::uint32_t, kAllowanceSlots> repeats{};
   std::int64_t slot = 0;
   /// Repeats taken over from an earlier start of the node.
-  std::uint32_t remembered = 0;
+  std::uint32_t restored_repeats = 0;
   /// Repeats asked for in the current slot and the one before, by place.
-  std::array<std::uint32_t, kPlaces> wanted{};
-  std::array<std::uint32_t, kPlaces> wanted_before{};
+  std::array<std::uint32_t, kRankBuckets> wanted{};
+  std::array<std::uint32_t, kRankBuckets> wanted_previous{};
 };
 
 /// Requests of the window that ends now, of the one half a window before it and
 /// of the one before it, and repeats of the window that ends now.
 struct RepeatCounts {
-  std::uint32_t now = 0;
-  std::uint32_t half_before = 0;
-  std::uint32_t before = 0;
+  std::uint32_t requests = 0;
+  std::uint32_t requests_half_earlier = 0;
+  std::uint32_t requests_previous = 0;
   std::uint32_t repeats = 0;
 };
 
 /// Notes a request that is sent to a target for the first time.
-void NoteRequest(const RepeatRules& rules,
-                 Millis now,
-                 RepeatAllowance& allowance);
+void RecordRequest(const RepeatRules& rules,
+                   Millis now,
+                   RepeatAllowance& allowance);
 
 /// Notes a repeat that was made anyway, such as a call of a run that is itself
 /// a repeat.
-void NoteRepeat(const RepeatRules& rules,
-                Millis now,
-                RepeatAllowance& allowance);
+void RecordRepeat(const RepeatRules& rules,
+                  Millis now,
+                  RepeatAllowance& allowance);
 
 /// What this node tells the others.
-RepeatCounts CountsOf(const RepeatRules& rules,
-                      Millis now,
-                      RepeatAllowance& allowance);
+RepeatCounts WindowCounts(const RepeatRules& rules,
+                          Millis now,
+                          RepeatAllowance& allowance);
 
 /// Takes over what an earlier start of this node told another one last, as if
 /// its repeats were made just now.
-void Remember(const RepeatRules& rules,
-              Millis now,
-              const RepeatCounts& told,
-              RepeatAllowance& allowance);
+void RestoreCounts(const RepeatRules& rules,
+                   Millis now,
+                   const RepeatCounts& reported,
+                   RepeatAllowance& allowance);
 
 /// What a node may do now, and has done.
-struct RepeatRoom {
+struct RepeatCapacity {
   double bound = 0;
   double repeats = 0;
   /// The part of the bound that grows with the requests.
-  double by_ratio = 0;
+  double bound_by_ratio = 0;
 };
 
 /// The window of this node that is tightest, of those that end now or later.
-RepeatRoom RoomForRepeats(const RepeatRules& rules,
-                          Millis now,
-                          RepeatAllowance& allowance);
+RepeatCapacity CapacityForRepeats(const RepeatRules& rules,
+                                  Millis now,
+                                  RepeatAllowance& allowance);
 
 /// Whether the sums of what nodes told leave room for one more.
-bool HasSharedRoom(const RepeatRules& rules, const RepeatCounts& sums);
+bool HasSharedCapacity(const RepeatRules& rules, const RepeatCounts& sums);
 
 /// Takes one repeat; false if there is none left for a request at `place`. Asks
 /// in any case.
 bool TakeRepeat(const RepeatRules& rules,
-                double place,
+                double rank,
                 Millis now,
                 RepeatAllowance& allowance);
 
--- a/libs/control/include/almondlink/control/retry_decision.h
+++ b/libs/control/include/almondlink/control/retry_decision.h
@@ -17,9 +17,9 @@
   /// Attempts made so far by this node for this call.
   std::uint32_t attempts = 1;
   /// Time left until the deadline.
-  Millis left;
+  Millis time_left;
   /// Time the next attempt likely needs at least.
-  LatencyMs likely;
+  LatencyMs expected_latency;
   /// Whether a target that was not tried is available.
   bool has_other_target = false;
 };
--- a/libs/control/include/almondlink/control/target_health.h
+++ b/libs/control/include/almondlink/control/target_health.h
@@ -13,12 +13,12 @@
 /// time, until a few succeed.
 namespace almondlink::control {
 
-enum class HealthState { kGood, kSetAside, kTrying };
+enum class HealthState { kHealthy, kEjected, kOnTrial };
 
 /// When a target is set aside.
 struct HealthRules {
   /// Failures in a row; 0: never.
-  std::uint32_t failures = 5;
+  std::uint32_t consecutive_failures = 5;
   /// It must fail so many times as often as the others, and a tenth more. 0:
   /// whatever the others do.
   double outlier_factor = 1.5;
@@ -26,16 +26,16 @@
 
 /// State of one target at one node. Plain data; one thread at a time.
 struct TargetHealth {
-  HealthState state = HealthState::kGood;
-  std::uint32_t failures_in_row = 0;
-  std::uint32_t successes_in_row = 0;
-  std::uint32_t times_set_aside = 0;
+  HealthState state = HealthState::kHealthy;
+  std::uint32_t consecutive_failures = 0;
+  std::uint32_t consecutive_successes = 0;
+  std::uint32_t ejections = 0;
   /// Part of the last few dozen outcomes that were failures.
-  double failing = 0;
+  double failure_rate = 0;
   /// Part of the last few dozen answers that were failures of the target's own.
-  double erring = 0;
-  Millis until;
-  bool is_trial_out = false;
+  double error_rate = 0;
+  Millis ejected_until;
+  bool is_trial_in_flight = false;
   /// When the trial went out; one that never came back does not block.
   Millis trial_sent;
 };
@@ -44,25 +44,25 @@
 /// unreachable, timed out, bad answer), not that it refused. True if the target
 /// was set aside by it. `failing_others`: mean of `failing` over the service's
 /// other targets.
-bool NoteHealth(const HealthRules& rules,
-                Millis now,
-                bool is_failure,
-                double failing_others,
-                TargetHealth& health);
+bool RecordOutcome(const HealthRules& rules,
+                   Millis now,
+                   bool is_failure,
+                   double others_failure_rate,
+                   TargetHealth& health);
 
 /// Takes whether an answer was a failure of the target's own, which does not
 /// set it aside.
-void NoteError(bool is_error, TargetHealth& health);
+void RecordAnswerError(bool is_error, TargetHealth& health);
 
 /// Whether the target may get a request now.
 bool MayUse(Millis now, const TargetHealth& health);
 
 /// Notes that a request is sent to it.
-void NoteSent(Millis now, TargetHealth& health);
+void RecordSent(Millis now, TargetHealth& health);
 
 /// Most targets of a service that may be set aside at once; with more, the
 /// cause is likely shared and setting aside only concentrates load.
-std::size_t MostSetAside(std::size_t targets);
+std::size_t MaxEjected(std::size_t targets);
 
 }  // namespace almondlink::control
 
--- a/libs/control/src/answer_match.cc
+++ b/libs/control/src/answer_match.cc
@@ -2,23 +2,25 @@
 
 namespace almondlink::control {
 
-AnswerUse UseOfAnswer(const ConnectionTrust& trust, AnswerId id) {
+AnswerAction ActionForAnswer(const ConnectionTrust& trust, AnswerId id) {
   switch (id) {
-    case AnswerId::kOwn:
-      return AnswerUse::kDeliver;
-    case AnswerId::kOther:
+    case AnswerId::kMatching:
+      return AnswerAction::kDeliver;
+    case AnswerId::kMismatching:
       // On a fresh connection there was no earlier request whose it could be.
-      return trust.is_fresh ? AnswerUse::kReject : AnswerUse::kSkip;
+      return trust.is_first_request ? AnswerAction::kReject
+                                    : AnswerAction::kSkip;
     case AnswerId::kMissing:
-      return trust.is_fresh || trust.needs_no_id ? AnswerUse::kDeliver
-                                                 : AnswerUse::kReject;
+      return trust.is_first_request || trust.is_id_optional
+                 ? AnswerAction::kDeliver
+                 : AnswerAction::kReject;
   }
-  return AnswerUse::kReject;
+  return AnswerAction::kReject;
 }
 
-bool MayFollow(const ConnectionTrust& trust, AnswerId id) {
-  return id == AnswerId::kOwn ||
-         (id == AnswerId::kMissing && trust.needs_no_id);
+bool MayReuseConnection(const ConnectionTrust& trust, AnswerId id) {
+  return id == AnswerId::kMatching ||
+         (id == AnswerId::kMissing && trust.is_id_optional);
 }
 
 }  // namespace almondlink::control
--- a/libs/control/src/caller_repeats.cc
+++ b/libs/control/src/caller_repeats.cc
@@ -2,37 +2,41 @@
 
 namespace almondlink::control {
 
-CallerRepeats MakeCallerRepeats(std::size_t places) {
+CallerRepeats MakeCallerRepeats(std::size_t slots) {
   CallerRepeats repeats;
-  repeats.places.resize(places);
+  repeats.slots.resize(slots);
   return repeats;
 }
 
-void NoteFailedRequest(Millis now,
-                       std::uint64_t hash,
-                       Millis retry_after,
-                       bool is_unknown,
-                       CallerRepeats& repeats) {
-  FailedRequest& place = repeats.places[hash % repeats.places.size()];
-  place.is_unknown = is_unknown || (place.hash == hash && place.is_unknown);
-  place.hash = hash;
-  place.failed = now;
-  place.come_back =
-      retry_after < Millis{0} ? now + kRepeatLife : now + retry_after;
+void RecordFailedRequest(Millis now,
+                         std::uint64_t hash,
+                         Millis retry_after,
+                         bool is_outcome_unknown,
+                         CallerRepeats& repeats) {
+  FailedRequest& entry = repeats.slots[hash % repeats.slots.size()];
+  entry.is_outcome_unknown =
+      is_outcome_unknown || (entry.hash == hash && entry.is_outcome_unknown);
+  entry.hash = hash;
+  entry.failed_at = now;
+  entry.retry_at =
+      retry_after < Millis{0} ? now + kCallerRepeatWindow : now + retry_after;
 }
 
-bool WasUnknown(Millis now, std::uint64_t hash, const CallerRepeats& repeats) {
-  const FailedRequest& place = repeats.places[hash % repeats.places.size()];
-  return place.hash == hash && hash != 0 && place.is_unknown &&
-         now - place.failed < kRepeatLife;
+bool HadUnknownOutcome(Millis now,
+                       std::uint64_t hash,
+                       const CallerRepeats& repeats) {
+  const FailedRequest& entry = repeats.slots[hash % repeats.slots.size()];
+  return entry.hash == hash && hash != 0 && entry.is_outcome_unknown &&
+         now - entry.failed_at < kCallerRepeatWindow;
 }
 
 bool IsEarlyRepeat(Millis now,
                    std::uint64_t hash,
                    const CallerRepeats& repeats) {
-  const FailedRequest& place = repeats.places[hash % repeats.places.size()];
-  const bool is_known = place.hash == hash && hash != 0;
-  return is_known && now - place.failed < kRepeatLife && now < place.come_back;
+  const FailedRequest& entry = repeats.slots[hash % repeats.slots.size()];
+  const bool is_known = entry.hash == hash && hash != 0;
+  return is_known && now - entry.failed_at < kCallerRepeatWindow &&
+         now < entry.retry_at;
 }
 
 }  // namespace almondlink::control
--- a/libs/control/src/chain_admission.cc
+++ b/libs/control/src/chain_admission.cc
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <iterator>
 
-#include "almondlink/control/error_share.h"
+#include "almondlink/control/error_rate.h"
 
 namespace almondlink::control {
 
@@ -107,7 +107,7 @@
     const double speed =
         is_known ? std::min(kMostSpeed, mean_work_ms / target.work_ms) : 1;
     const double errors_over =
-        ErrorsOver(target.erring, (erring - target.erring) / others);
+        ExcessErrorRate(target.erring, (erring - target.erring) / others);
     const double whole = target.slots * (1 - errors_over);
     room += whole * rules.planned_share * speed - target.waiting * slots_each;
   }
--- a/libs/control/src/claims.cc
+++ b/libs/control/src/claims.cc
@@ -4,9 +4,9 @@
 
 namespace almondlink::control {
 
-void StartClaims(std::uint64_t first_retained,
-                 Millis wall_now,
-                 Claims& claims) {
+void SkipToRetained(std::uint64_t first_retained,
+                    Millis wall_now,
+                    Claims& claims) {
   if (first_retained <= claims.next_offset) {
     return;
   }
@@ -16,7 +16,7 @@
   const bool is_start = claims.next_offset == 0;
   if (!is_start) {
     claims.has_gap = true;
-    claims.blind_before = wall_now + kClockSkew;
+    claims.undecidable_before = wall_now + kMaxClockSkew;
   }
   claims.next_offset = first_retained;
 }
@@ -29,7 +29,7 @@
     return;
   }
   claims.next_offset = offset + 1;
-  if (!claims.records.insert(batch.record_id).second) {
+  if (!claims.record_ids.insert(batch.record_id).second) {
     return;
   }
   claims.record_order.emplace_back(batch.record_id, now);
@@ -48,13 +48,14 @@
 }
 
 bool HasRecord(const std::string& record_id, const Claims& claims) {
-  return claims.records.count(record_id) != 0;
+  return claims.record_ids.count(record_id) != 0;
 }
 
-void ForgetClaims(Millis now, Millis age, Claims& claims) {
+void ExpireClaims(Millis now, Millis age, Claims& claims) {
   while (!claims.order.empty()) {
     const auto oldest = claims.by_key.find(claims.order.front());
-    if (oldest != claims.by_key.end() && now - oldest->second.seen <= age) {
+    if (oldest != claims.by_key.end() &&
+        now - oldest->second.learned_at <= age) {
       break;
     }
     claims.by_key.erase(claims.order.front());
@@ -62,13 +63,13 @@
   }
   while (!claims.record_order.empty() &&
          now - claims.record_order.front().second > age) {
-    claims.records.erase(claims.record_order.front().first);
+    claims.record_ids.erase(claims.record_order.front().first);
     claims.record_order.pop_front();
   }
 }
 
-bool CanDecide(Millis made, const Claims& claims) {
-  return !claims.has_gap || made >= claims.blind_before;
+bool CanDecide(Millis created_at, const Claims& claims) {
+  return !claims.has_gap || created_at >= claims.undecidable_before;
 }
 
 }  // namespace almondlink::control
--- a/libs/control/src/idempotency_key.cc
+++ b/libs/control/src/idempotency_key.cc
@@ -11,8 +11,8 @@
 
 constexpr std::size_t kUuidLength = 36;
 constexpr std::array<std::size_t, 4> kDashes = {8, 13, 18, 23};
-constexpr std::size_t kVersionPlace = 14;
-constexpr std::size_t kVariantPlace = 19;
+constexpr std::size_t kVersionIndex = 14;
+constexpr std::size_t kVariantIndex = 19;
 constexpr std::size_t kMintedParts = 6;
 constexpr const char* kMintedPrefix = "m1";
 
@@ -21,7 +21,7 @@
          (c >= 'A' && c <= 'F');
 }
 
-bool IsDashPlace(std::size_t at) {
+bool IsDashIndex(std::size_t at) {
   for (const std::size_t dash : kDashes) {
     if (dash == at) {
       return true;
@@ -35,14 +35,14 @@
     return false;
   }
   for (std::size_t i = 0; i < text.size(); ++i) {
-    const bool is_right = IsDashPlace(i) ? text[i] == '-' : IsHexDigit(text[i]);
-    if (!is_right) {
+    const bool is_valid = IsDashIndex(i) ? text[i] == '-' : IsHexDigit(text[i]);
+    if (!is_valid) {
       return false;
     }
   }
   const std::string variants = "89abAB";
-  return text[kVersionPlace] == '7' &&
-         variants.find(text[kVariantPlace]) != std::string::npos;
+  return text[kVersionIndex] == '7' &&
+         variants.find(text[kVariantIndex]) != std::string::npos;
 }
 
 template <typename Number>
@@ -80,7 +80,8 @@
 std::string MintedKeyBody(const MintedKey& key) {
   return std::string(kMintedPrefix) + "." + key.node.Value() + "." +
          std::to_string(key.incarnation.Value()) + "." +
-         std::to_string(key.sequence) + "." + std::to_string(key.made.count);
+         std::to_string(key.sequence) + "." +
+         std::to_string(key.created_at.count);
 }
 
 std::string MintedKeyText(const MintedKey& key) {
@@ -96,7 +97,7 @@
   std::uint64_t incarnation = 0;
   const bool is_parsed = ParseNumber(parts[2], incarnation) &&
                          ParseNumber(parts[3], key.sequence) &&
-                         ParseNumber(parts[4], key.made.count) &&
+                         ParseNumber(parts[4], key.created_at.count) &&
                          !parts[1].empty() && !parts[5].empty();
   if (!is_parsed) {
     return std::nullopt;
@@ -112,28 +113,30 @@
     return std::nullopt;
   }
   const std::string digits = text.substr(0, 8) + text.substr(9, 4);
-  std::int64_t made = 0;
-  std::from_chars(digits.data(), digits.data() + digits.size(), made, 16);
-  return Millis{made};
+  std::int64_t created_at = 0;
+  std::from_chars(digits.data(), digits.data() + digits.size(), created_at, 16);
+  return Millis{created_at};
 }
 
-std::string MakeUuid7(Millis made, std::uint64_t high, std::uint64_t low) {
+std::string MakeUuid7(Millis created_at,
+                      std::uint64_t high,
+                      std::uint64_t low) {
   constexpr std::uint64_t kVersion = 0x7000;
   constexpr std::uint64_t kVariant = 0x8000;
   std::array<char, 2 * kUuidLength> text{};
   std::snprintf(
       text.data(), text.size(), "%08llx-%04llx-%04llx-%04llx-%012llx",
-      (static_cast<unsigned long long>(made.count) >> 16) & 0xffffffff,
-      static_cast<unsigned long long>(made.count) & 0xffff,
+      (static_cast<unsigned long long>(created_at.count) >> 16) & 0xffffffff,
+      static_cast<unsigned long long>(created_at.count) & 0xffff,
       static_cast<unsigned long long>(kVersion | (high & 0x0fff)),
       static_cast<unsigned long long>(kVariant | ((high >> 16) & 0x3fff)),
       static_cast<unsigned long long>(low & 0xffffffffffffULL));
   return text.data();
 }
 
-ErrorKind CheckKeyAge(Millis made, Millis now, Millis lifetime) {
-  const bool is_future = made > now + kClockSkew;
-  const bool is_old = now - made > lifetime;
+ErrorKind CheckKeyAge(Millis created_at, Millis now, Millis lifetime) {
+  const bool is_future = created_at > now + kMaxClockSkew;
+  const bool is_old = now - created_at > lifetime;
   return is_future || is_old ? ErrorKind::kKeyExpired : ErrorKind::kNone;
 }
 
--- /dev/null
+++ b/libs/control/src/instance_tracker.cc
@@ -0,0 +1,182 @@
+#include "almondlink/control/instance_tracker.h"
+
+#include <algorithm>
+
+namespace almondlink::control {
+
+namespace {
+
+/// Starts remembered beside the current one.
+constexpr std::size_t kMaxRemembered = 64;
+/// A start that seems earlier by its clock is believed after so long without a
+/// word of the current one: two reports of the deployments known, so that one
+/// that is late or lost does not end a living instance.
+constexpr Millis kSilenceUntilReplaced{3000};
+
+/// The first reports of an instance whose node starts with it: one may be lost
+/// while the node's port is not open yet.
+constexpr std::uint64_t kMaxFirstSequence = 2;
+
+template <typename Entries>
+void TrimToLimit(Entries& entries) {
+  while (entries.size() > kMaxRemembered) {
+    entries.erase(entries.begin());
+  }
+}
+
+void RecordDeparted(const InstanceIncarnation& incarnation,
+                    InstanceTracker& tracker) {
+  tracker.departed.insert(incarnation);
+  TrimToLimit(tracker.departed);
+}
+
+ReportEffect StartLeaving(Millis now, InstanceTracker& tracker) {
+  RecordDeparted(tracker.current.incarnation, tracker);
+  if (tracker.phase == InstancePhase::kLeaving) {
+    return ReportEffect::kRefreshed;
+  }
+  tracker.phase = InstancePhase::kLeaving;
+  tracker.leaving_since = now;
+  return ReportEffect::kChanged;
+}
+
+ReportEffect Replace(Millis now,
+                     const InstanceReport& report,
+                     InstanceTracker& tracker) {
+  if (tracker.phase != InstancePhase::kNone) {
+    tracker.superseded[tracker.current.incarnation] = tracker.current.sequence;
+    TrimToLimit(tracker.superseded);
+  }
+  tracker.current = report;
+  tracker.first_sequence = report.sequence;
+  tracker.phase = InstancePhase::kReady;
+  tracker.last_report = now;
+  tracker.skew_candidate = SkewCandidate();
+  if (report.is_leaving || tracker.departed.count(report.incarnation) != 0) {
+    StartLeaving(now, tracker);
+  }
+  return ReportEffect::kChanged;
+}
+
+ReportEffect Refresh(Millis now,
+                     const InstanceReport& report,
+                     InstanceTracker& tracker) {
+  if (report.service != tracker.current.service) {
+    return ReportEffect::kRefused;
+  }
+  if (report.sequence < tracker.current.sequence) {
+    return ReportEffect::kIgnored;
+  }
+  const bool is_changed = tracker.current.capacity != report.capacity;
+  const InstanceIncarnation incarnation = tracker.current.incarnation;
+  tracker.current = report;
+  tracker.current.incarnation = incarnation;
+  tracker.last_report = now;
+  if (report.is_leaving || tracker.departed.count(incarnation) != 0) {
+    return StartLeaving(now, tracker);
+  }
+  return is_changed ? ReportEffect::kChanged : ReportEffect::kRefreshed;
+}
+
+/// Whether a start that seems earlier, or was replaced, has reported for long
+/// enough with nothing from the current one: then its clock went back, and it
+/// is the living one.
+bool IsConfirmedAlive(Millis now,
+                      const InstanceReport& report,
+                      InstanceTracker& tracker) {
+  SkewCandidate& candidate = tracker.skew_candidate;
+  const bool is_first = candidate.incarnation != report.incarnation ||
+                        tracker.last_report >= candidate.first_report ||
+                        report.sequence <= candidate.last_sequence;
+  if (is_first) {
+    candidate = SkewCandidate{report.incarnation, now, report.sequence};
+    return false;
+  }
+  candidate.last_sequence = report.sequence;
+  return now - candidate.first_report >= kSilenceUntilReplaced;
+}
+
+/// Whether the report is a late one of a start that the current one followed.
+bool IsStale(const InstanceReport& report, const InstanceTracker& tracker) {
+  const auto known = tracker.superseded.find(report.incarnation);
+  if (known != tracker.superseded.end() && report.sequence <= known->second) {
+    return true;
+  }
+  // A later start under the same id has been here.
+  const auto next = tracker.superseded.upper_bound(report.incarnation);
+  return report.incarnation.started_at != 0 &&
+         next != tracker.superseded.end() &&
+         next->first.id == report.incarnation.id;
+}
+
+}  // namespace
+
+ReportEffect ApplyReport(Millis now,
+                         const InstanceReport& report,
+                         InstanceTracker& tracker) {
+  const bool has_current = tracker.phase != InstancePhase::kNone;
+  const InstanceIncarnation& current = tracker.current.incarnation;
+  const bool is_same_id = has_current && current.id == report.incarnation.id;
+  if (is_same_id && (report.incarnation.started_at == current.started_at ||
+                     report.incarnation.started_at == 0)) {
+    return Refresh(now, report, tracker);
+  }
+  if (report.is_leaving) {
+    RecordDeparted(report.incarnation, tracker);
+  }
+  if (is_same_id) {
+    const bool is_later = report.incarnation.started_at > current.started_at &&
+                          tracker.superseded.count(report.incarnation) == 0;
+    return is_later || IsConfirmedAlive(now, report, tracker)
+               ? Replace(now, report, tracker)
+               : ReportEffect::kIgnored;
+  }
+  // One that leaves has nothing to take over from a living one.
+  const bool is_other_living =
+      tracker.departed.count(report.incarnation) != 0 &&
+      tracker.phase == InstancePhase::kReady;
+  // Seen late after this node started anew: the current one began after it and
+  // is still there.
+  const bool is_outlived = has_current && report.incarnation.started_at != 0 &&
+                           report.incarnation.started_at < current.started_at &&
+                           now - tracker.last_report < kSilenceUntilReplaced;
+  if (is_other_living || is_outlived || IsStale(report, tracker)) {
+    return ReportEffect::kIgnored;
+  }
+  return Replace(now, report, tracker);
+}
+
+ReportEffect ApplyLeave(Millis now,
+                        const InstanceIncarnation& incarnation,
+                        InstanceTracker& tracker) {
+  const InstanceIncarnation& current = tracker.current.incarnation;
+  const bool is_current_id =
+      tracker.phase != InstancePhase::kNone && current.id == incarnation.id;
+  RecordDeparted(incarnation, tracker);
+  // A later start that leaves means that the one known here is gone as well.
+  const bool is_meant = incarnation.started_at == 0 ||
+                        incarnation.started_at >= current.started_at;
+  return is_current_id && is_meant ? StartLeaving(now, tracker)
+                                   : ReportEffect::kIgnored;
+}
+
+ReportEffect RestoreDeparted(Millis now,
+                             const InstanceIncarnation& incarnation,
+                             InstanceTracker& tracker) {
+  return ApplyLeave(now, incarnation, tracker);
+}
+
+bool MayBeOlderThanNode(const InstanceTracker& tracker) {
+  return tracker.phase == InstancePhase::kNone ||
+         tracker.first_sequence > kMaxFirstSequence;
+}
+
+std::uint32_t UsableSlots(const InstanceTracker& tracker) {
+  if (tracker.phase == InstancePhase::kNone) {
+    return 0;
+  }
+  const double used = tracker.current.capacity * tracker.usable_share;
+  return std::max(1U, static_cast<std::uint32_t>(used));
+}
+
+}  // namespace almondlink::control
--- a/libs/control/src/key_table.cc
+++ b/libs/control/src/key_table.cc
@@ -30,12 +30,12 @@
                  const std::string& key,
                  KeyState state,
                  KeyTable& table) {
-  if (table.entries.size() >= limits.entries) {
+  if (table.entries.size() >= limits.max_entries) {
     return nullptr;
   }
   KeyEntry entry;
   entry.state = state;
-  entry.since = now;
+  entry.added_at = now;
   const auto added = table.entries.emplace(key, std::move(entry));
   if (added.second) {
     table.order.push_back(key);
@@ -43,17 +43,17 @@
   return &added.first->second;
 }
 
-bool TakeDispatch(KeyEntry& entry) {
-  if (entry.state != KeyState::kHeld) {
+bool BeginDispatch(KeyEntry& entry) {
+  if (entry.state != KeyState::kOwned) {
     return false;
   }
   entry.state = KeyState::kDispatched;
   return true;
 }
 
-void ReturnDispatch(KeyEntry& entry) {
+void RevertDispatch(KeyEntry& entry) {
   if (entry.state == KeyState::kDispatched) {
-    entry.state = KeyState::kHeld;
+    entry.state = KeyState::kOwned;
   }
 }
 
@@ -63,8 +63,8 @@
                   KeyTable& table) {
   entry.state = KeyState::kDone;
   const std::size_t size = SizeOf(answer);
-  const bool fits = size <= limits.largest_answer &&
-                    table.answer_bytes + size <= limits.answer_bytes;
+  const bool fits = size <= limits.max_answer_size &&
+                    table.answer_bytes + size <= limits.max_answer_bytes;
   if (!fits) {
     return;
   }
@@ -81,12 +81,13 @@
   }
 }
 
-void ForgetKeys(Millis now, Millis age, KeyTable& table) {
+void ExpireKeys(Millis now, Millis age, KeyTable& table) {
   while (!table.order.empty()) {
     const auto oldest = table.entries.find(table.order.front());
     if (oldest != table.entries.end()) {
       const KeyEntry& entry = oldest->second;
-      const bool is_needed = now - entry.since <= age || !entry.waiting.empty();
+      const bool is_needed =
+          now - entry.added_at <= age || !entry.waiting_calls.empty();
       if (is_needed) {
         return;
       }
--- a/libs/control/src/membership.cc
+++ b/libs/control/src/membership.cc
@@ -16,8 +16,8 @@
 constexpr std::uint32_t kAlive =
     static_cast<std::uint32_t>(MemberState::kAlive);
 
-bool IsNewer(const wire::Member& news, const wire::Member& known) {
-  return std::make_tuple(news.incarnation, news.version, news.state) >
+bool IsNewer(const wire::Member& update, const wire::Member& known) {
+  return std::make_tuple(update.incarnation, update.version, update.state) >
          std::make_tuple(known.incarnation, known.version, known.state);
 }
 
@@ -25,43 +25,44 @@
   return member.state < kFailed;
 }
 
-void Store(const wire::Member& news, Millis now, Membership& membership) {
-  MemberEntry& entry = membership.members[news.node];
-  entry.member = news;
-  entry.changed = now;
-  entry.passed_on = 0;
+void Store(const wire::Member& update, Millis now, Membership& membership) {
+  MemberEntry& entry = membership.members[update.node];
+  entry.member = update;
+  entry.changed_at = now;
+  entry.transmissions = 0;
 }
 
 /// News of this node itself: only a higher version than the one in the news
 /// silences it. News of a later incarnation is another process under the same
 /// id; this node cannot outbid it and says nothing.
-MergeResult MergeSelf(const wire::Member& news,
+MergeResult MergeSelf(const wire::Member& update,
                       Millis now,
                       Membership& membership) {
   MergeResult result;
-  const wire::Member& self = membership.members[news.node].member;
-  const bool is_said_dead = news.incarnation == self.incarnation &&
-                            news.version >= self.version &&
-                            news.state != kAlive && self.state == kAlive;
-  if (!is_said_dead) {
+  const wire::Member& self = membership.members[update.node].member;
+  const bool is_reported_dead = update.incarnation == self.incarnation &&
+                                update.version >= self.version &&
+                                update.state != kAlive && self.state == kAlive;
+  if (!is_reported_dead) {
     return result;
   }
   wire::Member refuted = self;
-  refuted.version = news.version + 1;
+  refuted.version = update.version + 1;
   Store(refuted, now, membership);
   result.is_changed = true;
   result.is_refuted = true;
   return result;
 }
 
-std::uint32_t MostPasses(const MembershipRules& rules,
-                         const Membership& membership) {
-  const double digits =
+std::uint32_t MaxTransmissions(const MembershipRules& rules,
+                               const Membership& membership) {
+  const double binary_digits =
       std::log2(static_cast<double>(membership.members.size()) + 1);
-  return rules.spread_factor * static_cast<std::uint32_t>(std::ceil(digits));
+  return rules.retransmit_factor *
+         static_cast<std::uint32_t>(std::ceil(binary_digits));
 }
 
-void StartRound(double draw, Membership& membership) {
+void ShuffleProbeOrder(double draw, Membership& membership) {
   membership.probe_order.clear();
   membership.probe_next = 0;
   for (const auto& [node, entry] : membership.members) {
@@ -112,25 +113,25 @@
 }
 
 MergeResult MergeMember(const MembershipRules& rules,
-                        const wire::Member& news,
+                        const wire::Member& update,
                         Millis now,
                         Membership& membership) {
   MergeResult result;
-  if (news.node.empty() || news.state > kLeft) {
+  if (update.node.empty() || update.state > kLeft) {
     return result;
   }
-  if (news.node == membership.self.Value()) {
-    return MergeSelf(news, now, membership);
+  if (update.node == membership.self.Value()) {
+    return MergeSelf(update, now, membership);
   }
-  const auto known = membership.members.find(news.node);
+  const auto known = membership.members.find(update.node);
   if (known == membership.members.end()) {
     if (membership.members.size() >= rules.max_members) {
       return result;
     }
-  } else if (!IsNewer(news, known->second.member)) {
+  } else if (!IsNewer(update, known->second.member)) {
     return result;
   }
-  Store(news, now, membership);
+  Store(update, now, membership);
   result.is_changed = true;
   return result;
 }
@@ -157,7 +158,7 @@
   std::vector<std::string> failed;
   for (auto it = membership.members.begin(); it != membership.members.end();) {
     MemberEntry& entry = it->second;
-    const Millis age = now - entry.changed;
+    const Millis age = now - entry.changed_at;
     const bool is_self = it->first == membership.self.Value();
     if (!is_self && entry.member.state >= kFailed && age > rules.tombstone) {
       it = membership.members.erase(it);
@@ -167,8 +168,8 @@
                          age > rules.suspect_timeout;
     if (is_over) {
       entry.member.state = kFailed;
-      entry.changed = now;
-      entry.passed_on = 0;
+      entry.changed_at = now;
+      entry.transmissions = 0;
       failed.push_back(it->first);
     }
     ++it;
@@ -185,7 +186,7 @@
         return found->second.member;
       }
     }
-    StartRound(draw, membership);
+    ShuffleProbeOrder(draw, membership);
   }
   return std::nullopt;
 }
@@ -232,23 +233,23 @@
 
 std::vector<wire::Member> PickUpdates(const MembershipRules& rules,
                                       Membership& membership) {
-  const std::uint32_t most = MostPasses(rules, membership);
-  std::vector<MemberEntry*> fresh;
+  const std::uint32_t max_transmissions = MaxTransmissions(rules, membership);
+  std::vector<MemberEntry*> pending;
   for (auto& [node, entry] : membership.members) {
-    if (entry.passed_on < most) {
-      fresh.push_back(&entry);
+    if (entry.transmissions < max_transmissions) {
+      pending.push_back(&entry);
     }
   }
-  const std::size_t count = std::min(rules.updates_per_message, fresh.size());
+  const std::size_t count = std::min(rules.updates_per_message, pending.size());
   std::partial_sort(
-      fresh.begin(), fresh.begin() + static_cast<std::ptrdiff_t>(count),
-      fresh.end(), [](const MemberEntry* a, const MemberEntry* b) {
-        return a->passed_on < b->passed_on;
+      pending.begin(), pending.begin() + static_cast<std::ptrdiff_t>(count),
+      pending.end(), [](const MemberEntry* a, const MemberEntry* b) {
+        return a->transmissions < b->transmissions;
       });
   std::vector<wire::Member> updates;
   for (std::size_t i = 0; i < count; ++i) {
-    ++fresh[i]->passed_on;
-    updates.push_back(fresh[i]->member);
+    ++pending[i]->transmissions;
+    updates.push_back(pending[i]->member);
   }
   return updates;
 }
--- a/libs/control/src/placement.cc
+++ b/libs/control/src/placement.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "almondlink/control/error_share.h"
+#include "almondlink/control/error_rate.h"
 
 namespace almondlink::control {
 
@@ -37,7 +37,7 @@
   for (std::size_t i = 0; i < views.size(); ++i) {
     const double others =
         (sum - views[i].erring) / static_cast<double>(open - 1);
-    over[i] = views[i].is_open ? ErrorsOver(views[i].erring, others) : 0;
+    over[i] = views[i].is_open ? ExcessErrorRate(views[i].erring, others) : 0;
   }
   return over;
 }
@@ -54,7 +54,7 @@
     open += view.is_open ? 1 : 0;
     set_aside += view.is_open && !MayUse(now, view.health) ? 1 : 0;
   }
-  const bool is_health_ignored = set_aside > MostSetAside(open);
+  const bool is_health_ignored = set_aside > MaxEjected(open);
   Candidates found;
   for (std::size_t i = 0; i < views.size(); ++i) {
     const PlaceView& view = views[i];
@@ -89,7 +89,7 @@
               const PlaceView& view,
               double errors_over,
               double typical) {
-  const double slower = 1 + rules.failing_weight * view.health.failing;
+  const double slower = 1 + rules.failing_weight * view.health.failure_rate;
   const double errors = rules.error_ms * errors_over;
   if (rules.is_by_time) {
     return slower * PlaceCost(view, typical) + errors;
--- a/libs/control/src/policy_source.cc
+++ b/libs/control/src/policy_source.cc
@@ -7,7 +7,7 @@
 bool FollowsSource(const FollowRules& rules,
                    std::uint32_t before,
                    std::uint32_t before_with_source) {
-  return before < rules.most_tried && before_with_source < rules.followers;
+  return before < rules.max_tried && before_with_source < rules.followers;
 }
 
 std::optional<std::size_t> ChooseOffer(const FollowRules& rules,
@@ -15,7 +15,8 @@
                                        const std::vector<PolicyOffer>& offers,
                                        Millis known_for,
                                        double draw) {
-  const bool takes_any = own_version == 0 || known_for >= rules.elsewhere_wait;
+  const bool may_ask_any_zone =
+      own_version == 0 || known_for >= rules.other_zone_delay;
   std::vector<std::size_t> own;
   std::vector<std::size_t> all;
   std::uint64_t newest = own_version;
@@ -24,7 +25,7 @@
   }
   for (std::size_t i = 0; i < offers.size(); ++i) {
     if (offers[i].version != newest || newest == own_version ||
-        offers[i].is_asked) {
+        offers[i].is_requested) {
       continue;
     }
     all.push_back(i);
@@ -33,12 +34,12 @@
     }
   }
   const std::vector<std::size_t>& choice = own.empty() ? all : own;
-  if (choice.empty() || (own.empty() && !takes_any)) {
+  if (choice.empty() || (own.empty() && !may_ask_any_zone)) {
     return std::nullopt;
   }
-  const auto place =
+  const auto index =
       static_cast<std::size_t>(draw * static_cast<double>(choice.size()));
-  return choice[std::min(place, choice.size() - 1)];
+  return choice[std::min(index, choice.size() - 1)];
 }
 
 }  // namespace almondlink::control
--- a/libs/control/src/routing.cc
+++ b/libs/control/src/routing.cc
@@ -35,7 +35,7 @@
                           ShedRank rank,
                           bool with_suspects) {
   const bool is_health_ignored =
-      SetAsideCount(views, now) > MostSetAside(views.size());
+      SetAsideCount(views, now) > MaxEjected(views.size());
   Candidates found;
   for (std::size_t i = 0; i < views.size(); ++i) {
     const TargetView& view = views[i];
--- a/libs/control/src/target_health.cc
+++ b/libs/control/src/target_health.cc
@@ -7,93 +7,98 @@
 namespace {
 
 constexpr std::uint32_t kSuccessesToReturn = 3;
-constexpr Millis kFirstWait{500};
-constexpr std::uint32_t kMostDoublings = 4;
-constexpr Millis kTrialLife{1000};
+constexpr Millis kBaseEjectionTime{500};
+constexpr std::uint32_t kMaxDoublings = 4;
+constexpr Millis kTrialTimeout{1000};
 /// Weight of one outcome: some twenty of them are remembered, so that five
 /// failures in a row stand out from a target that never failed.
 constexpr double kOutcomeWeight = 0.05;
 /// How much more than the others an outlier fails at least.
-constexpr double kOutlierOver = 0.1;
+constexpr double kOutlierMargin = 0.1;
 
-void SetAside(Millis now, TargetHealth& health) {
-  const std::uint32_t doublings =
-      std::min(health.times_set_aside, kMostDoublings);
-  health.state = HealthState::kSetAside;
-  health.until = now + kFirstWait * (std::int64_t{1} << doublings);
-  health.failures_in_row = 0;
-  health.successes_in_row = 0;
-  health.is_trial_out = false;
-  ++health.times_set_aside;
+void Eject(Millis now, TargetHealth& health) {
+  const std::uint32_t doublings = std::min(health.ejections, kMaxDoublings);
+  health.state = HealthState::kEjected;
+  health.ejected_until =
+      now + kBaseEjectionTime * (std::int64_t{1} << doublings);
+  health.consecutive_failures = 0;
+  health.consecutive_successes = 0;
+  health.is_trial_in_flight = false;
+  ++health.ejections;
 }
 
-void NoteSuccess(TargetHealth& health) {
-  health.failures_in_row = 0;
-  ++health.successes_in_row;
-  if (health.state == HealthState::kGood) {
+void RecordSuccess(TargetHealth& health) {
+  health.consecutive_failures = 0;
+  ++health.consecutive_successes;
+  if (health.state == HealthState::kHealthy) {
     return;
   }
-  health.state = HealthState::kTrying;
-  if (health.successes_in_row >= kSuccessesToReturn) {
-    health.state = HealthState::kGood;
-    health.times_set_aside = 0;
+  health.state = HealthState::kOnTrial;
+  if (health.consecutive_successes >= kSuccessesToReturn) {
+    health.state = HealthState::kHealthy;
+    health.ejections = 0;
   }
 }
 
 }  // namespace
 
-bool NoteHealth(const HealthRules& rules,
-                Millis now,
-                bool is_failure,
-                double failing_others,
-                TargetHealth& health) {
-  health.is_trial_out = false;
-  health.failing += kOutcomeWeight * ((is_failure ? 1 : 0) - health.failing);
+bool RecordOutcome(const HealthRules& rules,
+                   Millis now,
+                   bool is_failure,
+                   double others_failure_rate,
+                   TargetHealth& health) {
+  health.is_trial_in_flight = false;
+  health.failure_rate +=
+      kOutcomeWeight * ((is_failure ? 1 : 0) - health.failure_rate);
   if (!is_failure) {
-    NoteSuccess(health);
+    RecordSuccess(health);
     return false;
   }
-  health.successes_in_row = 0;
-  ++health.failures_in_row;
-  const bool is_on_trial = health.state != HealthState::kGood;
+  health.consecutive_successes = 0;
+  ++health.consecutive_failures;
+  const bool is_on_trial = health.state != HealthState::kHealthy;
   const bool is_enough =
-      rules.failures > 0 && health.failures_in_row >= rules.failures;
+      rules.consecutive_failures > 0 &&
+      health.consecutive_failures >= rules.consecutive_failures;
   const bool is_outlier =
       rules.outlier_factor == 0 ||
-      health.failing > rules.outlier_factor * failing_others + kOutlierOver;
+      health.failure_rate >
+          rules.outlier_factor * others_failure_rate + kOutlierMargin;
   if ((is_on_trial || is_enough) && is_outlier) {
-    SetAside(now, health);
+    Eject(now, health);
     return true;
   }
   return false;
 }
 
-void NoteError(bool is_error, TargetHealth& health) {
-  health.erring += kOutcomeWeight * ((is_error ? 1 : 0) - health.erring);
+void RecordAnswerError(bool is_error, TargetHealth& health) {
+  health.error_rate +=
+      kOutcomeWeight * ((is_error ? 1 : 0) - health.error_rate);
 }
 
 bool MayUse(Millis now, const TargetHealth& health) {
   switch (health.state) {
-    case HealthState::kGood:
+    case HealthState::kHealthy:
       return true;
-    case HealthState::kSetAside:
-      return now >= health.until;
-    case HealthState::kTrying:
-      return !health.is_trial_out || now - health.trial_sent > kTrialLife;
+    case HealthState::kEjected:
+      return now >= health.ejected_until;
+    case HealthState::kOnTrial:
+      return !health.is_trial_in_flight ||
+             now - health.trial_sent > kTrialTimeout;
   }
   return true;
 }
 
-void NoteSent(Millis now, TargetHealth& health) {
-  if (health.state == HealthState::kGood) {
+void RecordSent(Millis now, TargetHealth& health) {
+  if (health.state == HealthState::kHealthy) {
     return;
   }
-  health.state = HealthState::kTrying;
-  health.is_trial_out = true;
+  health.state = HealthState::kOnTrial;
+  health.is_trial_in_flight = true;
   health.trial_sent = now;
 }
 
-std::size_t MostSetAside(std::size_t targets) {
+std::size_t MaxEjected(std::size_t targets) {
   return targets / 2;
 }
 
--- a/libs/control/tests/answer_match_test.cc
+++ b/libs/control/tests/answer_match_test.cc
@@ -6,36 +6,43 @@
 namespace almondlink::control {
 namespace {
 
-constexpr ConnectionTrust kFresh{true, false};
+constexpr ConnectionTrust kFirstRequest{true, false};
 constexpr ConnectionTrust kReused{false, false};
-constexpr ConnectionTrust kVouchedFor{false, true};
+constexpr ConnectionTrust kIdOptional{false, true};
 
 TEST_CASE("on a connection used before only the own id is delivered") {
-  CHECK(UseOfAnswer(kReused, AnswerId::kOwn) == AnswerUse::kDeliver);
-  CHECK(UseOfAnswer(kReused, AnswerId::kOther) == AnswerUse::kSkip);
-  CHECK(UseOfAnswer(kReused, AnswerId::kMissing) == AnswerUse::kReject);
+  CHECK(ActionForAnswer(kReused, AnswerId::kMatching) ==
+        AnswerAction::kDeliver);
+  CHECK(ActionForAnswer(kReused, AnswerId::kMismatching) ==
+        AnswerAction::kSkip);
+  CHECK(ActionForAnswer(kReused, AnswerId::kMissing) == AnswerAction::kReject);
 }
 
 TEST_CASE("a fresh connection cannot hold another request's answer") {
-  CHECK(UseOfAnswer(kFresh, AnswerId::kOwn) == AnswerUse::kDeliver);
-  CHECK(UseOfAnswer(kFresh, AnswerId::kMissing) == AnswerUse::kDeliver);
-  CHECK(UseOfAnswer(kFresh, AnswerId::kOther) == AnswerUse::kReject);
+  CHECK(ActionForAnswer(kFirstRequest, AnswerId::kMatching) ==
+        AnswerAction::kDeliver);
+  CHECK(ActionForAnswer(kFirstRequest, AnswerId::kMissing) ==
+        AnswerAction::kDeliver);
+  CHECK(ActionForAnswer(kFirstRequest, AnswerId::kMismatching) ==
+        AnswerAction::kReject);
 }
 
 TEST_CASE("only an answer with the own id keeps the connection") {
-  for (const ConnectionTrust& trust : {kFresh, kReused}) {
-    CHECK(MayFollow(trust, AnswerId::kOwn));
-    CHECK_FALSE(MayFollow(trust, AnswerId::kMissing));
-    CHECK_FALSE(MayFollow(trust, AnswerId::kOther));
+  for (const ConnectionTrust& trust : {kFirstRequest, kReused}) {
+    CHECK(MayReuseConnection(trust, AnswerId::kMatching));
+    CHECK_FALSE(MayReuseConnection(trust, AnswerId::kMissing));
+    CHECK_FALSE(MayReuseConnection(trust, AnswerId::kMismatching));
   }
 }
 
 TEST_CASE(
     "an operator may vouch for a target without ids, not for wrong ones") {
-  CHECK(UseOfAnswer(kVouchedFor, AnswerId::kMissing) == AnswerUse::kDeliver);
-  CHECK(MayFollow(kVouchedFor, AnswerId::kMissing));
-  CHECK(UseOfAnswer(kVouchedFor, AnswerId::kOther) == AnswerUse::kSkip);
-  CHECK_FALSE(MayFollow(kVouchedFor, AnswerId::kOther));
+  CHECK(ActionForAnswer(kIdOptional, AnswerId::kMissing) ==
+        AnswerAction::kDeliver);
+  CHECK(MayReuseConnection(kIdOptional, AnswerId::kMissing));
+  CHECK(ActionForAnswer(kIdOptional, AnswerId::kMismatching) ==
+        AnswerAction::kSkip);
+  CHECK_FALSE(MayReuseConnection(kIdOptional, AnswerId::kMismatching));
 }
 
 }  // namespace
--- a/libs/control/tests/claims_test.cc
+++ b/libs/control/tests/claims_test.cc
@@ -38,20 +38,20 @@
 
 TEST_CASE("records that were dropped unread leave their keys undecided") {
   Claims claims;
-  StartClaims(3, Millis{1000}, claims);
+  SkipToRetained(3, Millis{1000}, claims);
   REQUIRE(CanDecide(Millis{0}, claims));
   ApplyClaims(3, Batch("a/1", "a", {"k"}), Millis{0}, claims);
-  StartClaims(10, Millis{50'000}, claims);
+  SkipToRetained(10, Millis{50'000}, claims);
   REQUIRE_FALSE(CanDecide(Millis{50'000}, claims));
-  REQUIRE(CanDecide(Millis{50'000} + kClockSkew, claims));
+  REQUIRE(CanDecide(Millis{50'000} + kMaxClockSkew, claims));
 }
 
 TEST_CASE("claims are forgotten only after their age") {
   Claims claims;
   ApplyClaims(0, Batch("a/1", "a", {"k"}), Millis{0}, claims);
-  ForgetClaims(Millis{100}, Millis{100}, claims);
+  ExpireClaims(Millis{100}, Millis{100}, claims);
   REQUIRE(FindClaim("k", claims) != nullptr);
-  ForgetClaims(Millis{101}, Millis{100}, claims);
+  ExpireClaims(Millis{101}, Millis{100}, claims);
   REQUIRE(FindClaim("k", claims) == nullptr);
   REQUIRE_FALSE(HasRecord("a/1", claims));
 }
@@ -60,20 +60,20 @@
   KeyTable table;
   const KeyTableLimits limits;
   KeyEntry* entry = AddKey(limits, Millis{0}, "k", KeyState::kClaiming, table);
-  REQUIRE_FALSE(TakeDispatch(*entry));
-  entry->state = KeyState::kHeld;
-  REQUIRE(TakeDispatch(*entry));
-  REQUIRE_FALSE(TakeDispatch(*entry));
-  ReturnDispatch(*entry);
-  REQUIRE(TakeDispatch(*entry));
+  REQUIRE_FALSE(BeginDispatch(*entry));
+  entry->state = KeyState::kOwned;
+  REQUIRE(BeginDispatch(*entry));
+  REQUIRE_FALSE(BeginDispatch(*entry));
+  RevertDispatch(*entry);
+  REQUIRE(BeginDispatch(*entry));
   wire::Answer answer;
   answer.status = 200;
   answer.body = {1, 2, 3};
   RecordAnswer(limits, answer, *entry, table);
   REQUIRE(entry->state == KeyState::kDone);
-  ReturnDispatch(*entry);
-  REQUIRE_FALSE(TakeDispatch(*entry));
-  ForgetKeys(Millis{11}, Millis{10}, table);
+  RevertDispatch(*entry);
+  REQUIRE_FALSE(BeginDispatch(*entry));
+  ExpireKeys(Millis{11}, Millis{10}, table);
   REQUIRE(table.entries.empty());
   REQUIRE(table.answer_bytes == 0);
 }
@@ -81,10 +81,10 @@
 TEST_CASE("a full key table refuses, large answers are not kept") {
   KeyTable table;
   KeyTableLimits limits;
-  limits.entries = 1;
-  limits.largest_answer = 2;
-  KeyEntry* entry = AddKey(limits, Millis{0}, "k", KeyState::kHeld, table);
-  REQUIRE(AddKey(limits, Millis{0}, "l", KeyState::kHeld, table) == nullptr);
+  limits.max_entries = 1;
+  limits.max_answer_size = 2;
+  KeyEntry* entry = AddKey(limits, Millis{0}, "k", KeyState::kOwned, table);
+  REQUIRE(AddKey(limits, Millis{0}, "l", KeyState::kOwned, table) == nullptr);
   wire::Answer answer;
   answer.body = {1, 2, 3};
   RecordAnswer(limits, answer, *entry, table);
@@ -93,19 +93,20 @@
 }
 
 TEST_CASE("UUID version 7 tells when a key was made") {
-  const Millis made{1'700'000'000'123};
+  const Millis created_at{1'700'000'000'123};
   const std::string key =
-      MakeUuid7(made, 0x1234567890abcdef, 0xfedcba0987654321);
-  REQUIRE(TimeOfUuid7(key) == std::optional<Millis>(made));
+      MakeUuid7(created_at, 0x1234567890abcdef, 0xfedcba0987654321);
+  REQUIRE(TimeOfUuid7(key) == std::optional<Millis>(created_at));
   REQUIRE_FALSE(
       TimeOfUuid7("f47ac10b-58cc-4372-a567-0e02b2c3d479").has_value());
   REQUIRE_FALSE(TimeOfUuid7(key + "0").has_value());
   REQUIRE_FALSE(TimeOfUuid7("").has_value());
-  REQUIRE(CheckKeyAge(made, made + Millis{10}, Millis{10}) == ErrorKind::kNone);
-  REQUIRE(CheckKeyAge(made, made + Millis{11}, Millis{10}) ==
-          ErrorKind::kKeyExpired);
-  REQUIRE(CheckKeyAge(made + kClockSkew + Millis{1}, made, Millis{10}) ==
+  REQUIRE(CheckKeyAge(created_at, created_at + Millis{10}, Millis{10}) ==
+          ErrorKind::kNone);
+  REQUIRE(CheckKeyAge(created_at, created_at + Millis{11}, Millis{10}) ==
           ErrorKind::kKeyExpired);
+  REQUIRE(CheckKeyAge(created_at + kMaxClockSkew + Millis{1}, created_at,
+                      Millis{10}) == ErrorKind::kKeyExpired);
 }
 
 TEST_CASE("minted keys go there and back, also with dots in the node id") {
@@ -113,7 +114,7 @@
   key.node = NodeId("host.1.zone");
   key.incarnation = Incarnation(99);
   key.sequence = 7;
-  key.made = Millis{1234};
+  key.created_at = Millis{1234};
   key.mac = "abcd";
   const std::optional<MintedKey> parsed = ParseMintedKey(MintedKeyText(key));
   REQUIRE(parsed.has_value());
--- a/libs/control/tests/error_share_test.cc
+++ b/libs/control/tests/error_rate_test.cc
@@ -1,4 +1,4 @@
-#include "almondlink/control/error_share.h"
+#include "almondlink/control/error_rate.h"
 
 #include <catch2/catch.hpp>
 #include <random>
@@ -10,37 +10,37 @@
 namespace {
 
 TEST_CASE("errors are known after a few answers, and doubted after a while") {
-  ErrorShare errors;
+  ErrorRate errors;
   for (int i = 0; i < 20; ++i) {
-    NoteAnswer(Millis{1000}, true, errors);
+    UpdateErrorRate(Millis{1000}, true, errors);
   }
-  REQUIRE(ErrorsNow(Millis{1000}, errors) > 0.6);
-  REQUIRE(ErrorsNow(Millis{2000}, errors) < 0.1);
+  REQUIRE(CurrentErrorRate(Millis{1000}, errors) > 0.6);
+  REQUIRE(CurrentErrorRate(Millis{2000}, errors) < 0.1);
   // One more brings it back; one success does not.
-  ErrorShare sound = errors;
-  NoteAnswer(Millis{2000}, true, errors);
-  REQUIRE(ErrorsNow(Millis{2000}, errors) > 0.6);
-  NoteAnswer(Millis{2000}, false, sound);
-  REQUIRE(ErrorsNow(Millis{2000}, sound) < 0.1);
+  ErrorRate sound = errors;
+  UpdateErrorRate(Millis{2000}, true, errors);
+  REQUIRE(CurrentErrorRate(Millis{2000}, errors) > 0.6);
+  UpdateErrorRate(Millis{2000}, false, sound);
+  REQUIRE(CurrentErrorRate(Millis{2000}, sound) < 0.1);
 }
 
 TEST_CASE(
     "ordinary errors, and those that all targets share, do not stand out") {
-  REQUIRE(ErrorsOver(0.1, 0) == 0);
-  REQUIRE(ErrorsOver(0.6, 0.5) == 0);
-  REQUIRE(ErrorsOver(1, 0) == Approx(0.9));
-  REQUIRE(ErrorsOver(1, 0.004) > 0.85);
+  REQUIRE(ExcessErrorRate(0.1, 0) == 0);
+  REQUIRE(ExcessErrorRate(0.6, 0.5) == 0);
+  REQUIRE(ExcessErrorRate(1, 0) == Approx(0.9));
+  REQUIRE(ExcessErrorRate(1, 0.004) > 0.85);
 }
 
 /// Eight targets of which the first `erring` fail at once; returns the part of
 /// the calls that went to these. Four of ten slots are busy.
-double PartSentToErring(const PlaceRules& rules, std::size_t erring) {
+double ShareSentToFailing(const PlaceRules& rules, std::size_t failing) {
   std::vector<PlaceView> views(8);
   for (std::size_t i = 0; i < views.size(); ++i) {
     views[i].is_own_zone = i % 3 == 0;
     views[i].is_open = true;
     views[i].slots = 50;
-    const bool is_bad = i < erring;
+    const bool is_bad = i < failing;
     views[i].told_load = is_bad ? 0 : 20;
     views[i].work_ms = is_bad ? 1 : 35;
     views[i].erring = is_bad ? 1 : 0.004;
@@ -55,7 +55,7 @@
     const std::optional<std::size_t> place =
         ChoosePlace(rules, views, Millis{1000}, draws);
     REQUIRE(place.has_value());
-    sent += *place < erring ? 1 : 0;
+    sent += *place < failing ? 1 : 0;
   }
   return static_cast<double>(sent) / kCalls;
 }
@@ -66,9 +66,9 @@
   // eighth.
   PlaceRules rules;
   rules.patience_ms = 75;
-  REQUIRE(PartSentToErring(rules, 1) > 0.125);
+  REQUIRE(ShareSentToFailing(rules, 1) > 0.125);
   rules.error_ms = 300;
-  REQUIRE(PartSentToErring(rules, 1) < 0.0125);
+  REQUIRE(ShareSentToFailing(rules, 1) < 0.0125);
 }
 
 TEST_CASE("where most targets err, the load is not heaped on the others") {
@@ -76,7 +76,7 @@
   rules.patience_ms = 75;
   rules.error_ms = 300;
   // None stands out by much then.
-  REQUIRE(PartSentToErring(rules, 6) > 0.3);
+  REQUIRE(ShareSentToFailing(rules, 6) > 0.3);
 }
 
 }  // namespace
--- /dev/null
+++ b/libs/control/tests/instance_tracker_test.cc
@@ -0,0 +1,187 @@
+#include "almondlink/control/instance_tracker.h"
+
+#include <catch2/catch.hpp>
+
+/// Instances that start again under the id that they had, and the late words of
+/// those before.
+namespace almondlink::control {
+namespace {
+
+InstanceReport Report(std::uint64_t started_at,
+                      std::uint64_t sequence,
+                      const std::string& id = "i-1") {
+  InstanceReport report;
+  report.incarnation = {id, started_at};
+  report.service = "stock";
+  report.capacity = 50;
+  report.sequence = sequence;
+  return report;
+}
+
+TEST_CASE("an instance that starts again under its id counts from anew") {
+  InstanceTracker tracker;
+  ApplyReport(Millis{0}, Report(1000, 90), tracker);
+  InstanceReport restarted = Report(2000, 1);
+  restarted.capacity = 30;
+  REQUIRE(ApplyReport(Millis{1}, restarted, tracker) == ReportEffect::kChanged);
+  REQUIRE(tracker.phase == InstancePhase::kReady);
+  REQUIRE(tracker.current.incarnation.started_at == 2000);
+  REQUIRE(tracker.current.sequence == 1);
+  REQUIRE(tracker.current.capacity == 30);
+  REQUIRE(ApplyReport(Millis{2}, Report(2000, 2), tracker) ==
+          ReportEffect::kChanged);
+}
+
+TEST_CASE("one that left is ready again after it started again") {
+  InstanceTracker tracker;
+  ApplyReport(Millis{0}, Report(1000, 9), tracker);
+  REQUIRE(ApplyLeave(Millis{5}, {"i-1", 1000}, tracker) ==
+          ReportEffect::kChanged);
+  REQUIRE(ApplyReport(Millis{6}, Report(1000, 10), tracker) ==
+          ReportEffect::kRefreshed);
+  REQUIRE(tracker.phase == InstancePhase::kLeaving);
+  REQUIRE(ApplyReport(Millis{7}, Report(2000, 1), tracker) ==
+          ReportEffect::kChanged);
+  REQUIRE(tracker.phase == InstancePhase::kReady);
+  REQUIRE(tracker.departed.count({"i-1", 1000}) == 1);
+}
+
+TEST_CASE("late words of the start before change nothing") {
+  InstanceTracker tracker;
+  ApplyReport(Millis{0}, Report(1000, 9), tracker);
+  ApplyReport(Millis{1}, Report(2000, 1), tracker);
+  REQUIRE(ApplyReport(Millis{2}, Report(1000, 10), tracker) ==
+          ReportEffect::kIgnored);
+  InstanceReport leaving = Report(1000, 11);
+  leaving.is_leaving = true;
+  REQUIRE(ApplyReport(Millis{3}, leaving, tracker) == ReportEffect::kIgnored);
+  REQUIRE(ApplyLeave(Millis{4}, {"i-1", 1000}, tracker) ==
+          ReportEffect::kIgnored);
+  REQUIRE(RestoreDeparted(Millis{5}, {"i-1", 1000}, tracker) ==
+          ReportEffect::kIgnored);
+  REQUIRE(tracker.phase == InstancePhase::kReady);
+  REQUIRE(tracker.current.incarnation.started_at == 2000);
+  REQUIRE(tracker.departed.count({"i-1", 1000}) == 1);
+}
+
+TEST_CASE("a burst of held up reports does not bring an earlier start back") {
+  InstanceTracker tracker;
+  ApplyReport(Millis{0}, Report(2000, 1), tracker);
+  // The later start crashed; what a cut held back of the earlier one comes.
+  for (std::uint64_t i = 1; i < 20; ++i) {
+    REQUIRE(ApplyReport(Millis{9000 + static_cast<std::int64_t>(i)},
+                        Report(1000, 40 + i),
+                        tracker) == ReportEffect::kIgnored);
+  }
+  REQUIRE(tracker.current.incarnation.started_at == 2000);
+}
+
+TEST_CASE("a restart after the clock went back is believed when it goes on") {
+  InstanceTracker tracker;
+  ApplyReport(Millis{0}, Report(5000, 9), tracker);
+  REQUIRE(ApplyReport(Millis{1000}, Report(3000, 1), tracker) ==
+          ReportEffect::kIgnored);
+  REQUIRE(ApplyReport(Millis{2500}, Report(3000, 2), tracker) ==
+          ReportEffect::kIgnored);
+  REQUIRE(ApplyReport(Millis{4000}, Report(3000, 3), tracker) ==
+          ReportEffect::kChanged);
+  REQUIRE(tracker.current.incarnation.started_at == 3000);
+  REQUIRE(tracker.phase == InstancePhase::kReady);
+  // What is late of the one with the later time is of the past now.
+  REQUIRE(ApplyReport(Millis{4100}, Report(5000, 9), tracker) ==
+          ReportEffect::kIgnored);
+}
+
+TEST_CASE("the living start is not replaced while it reports") {
+  InstanceTracker tracker;
+  for (std::uint64_t i = 0; i < 10; ++i) {
+    const Millis now{static_cast<std::int64_t>(i) * 1500};
+    ApplyReport(now, Report(5000, 9 + i), tracker);
+    REQUIRE(ApplyReport(now + Millis{700}, Report(3000, 1 + i), tracker) ==
+            ReportEffect::kIgnored);
+  }
+  REQUIRE(tracker.current.incarnation.started_at == 5000);
+}
+
+TEST_CASE("a node that started between two starts is not misled") {
+  // Its peers remember only that the earlier start left.
+  InstanceTracker tracker;
+  RestoreDeparted(Millis{0}, {"i-1", 1000}, tracker);
+  REQUIRE(ApplyReport(Millis{1}, Report(1000, 9), tracker) ==
+          ReportEffect::kChanged);
+  REQUIRE(tracker.phase == InstancePhase::kLeaving);
+  REQUIRE(ApplyReport(Millis{2}, Report(2000, 1), tracker) ==
+          ReportEffect::kChanged);
+  REQUIRE(tracker.phase == InstancePhase::kReady);
+}
+
+TEST_CASE(
+    "a late report of another instance that began before is passed over") {
+  InstanceTracker tracker;
+  ApplyReport(Millis{0}, Report(5000, 1, "living"), tracker);
+  REQUIRE(ApplyReport(Millis{100}, Report(4000, 90, "gone"), tracker) ==
+          ReportEffect::kIgnored);
+  // One that began later takes the place over.
+  REQUIRE(ApplyReport(Millis{200}, Report(6000, 1, "next"), tracker) ==
+          ReportEffect::kChanged);
+  REQUIRE(tracker.current.incarnation.id == "next");
+}
+
+TEST_CASE("reports without the time of their start go on as before") {
+  InstanceTracker tracker;
+  ApplyReport(Millis{0}, Report(0, 5), tracker);
+  REQUIRE(ApplyReport(Millis{1}, Report(0, 4), tracker) ==
+          ReportEffect::kIgnored);
+  REQUIRE(ApplyLeave(Millis{2}, {"i-1", 0}, tracker) == ReportEffect::kChanged);
+  REQUIRE(ApplyReport(Millis{3}, Report(0, 6), tracker) ==
+          ReportEffect::kRefreshed);
+  REQUIRE(tracker.phase == InstancePhase::kLeaving);
+  // One that tells the time now is another start.
+  REQUIRE(ApplyReport(Millis{4}, Report(2000, 1), tracker) ==
+          ReportEffect::kChanged);
+  REQUIRE(tracker.phase == InstancePhase::kReady);
+  REQUIRE(ApplyReport(Millis{5}, Report(0, 7), tracker) ==
+          ReportEffect::kRefreshed);
+  REQUIRE(tracker.current.incarnation.started_at == 2000);
+}
+
+TEST_CASE("a leave of a later start ends the one that is known") {
+  InstanceTracker tracker;
+  ApplyReport(Millis{0}, Report(1000, 5), tracker);
+  REQUIRE(ApplyLeave(Millis{1}, {"i-1", 2000}, tracker) ==
+          ReportEffect::kChanged);
+  REQUIRE(ApplyReport(Millis{2}, Report(2000, 1), tracker) ==
+          ReportEffect::kChanged);
+  REQUIRE(tracker.phase == InstancePhase::kLeaving);
+}
+
+TEST_CASE("a start does not change its service") {
+  InstanceTracker tracker;
+  ApplyReport(Millis{0}, Report(1000, 5), tracker);
+  InstanceReport other = Report(1000, 6);
+  other.service = "elsewhere";
+  REQUIRE(ApplyReport(Millis{1}, other, tracker) == ReportEffect::kRefused);
+  REQUIRE(tracker.current.service == "stock");
+  REQUIRE(tracker.current.sequence == 5);
+}
+
+TEST_CASE("an instance that reported elsewhere before may be older") {
+  InstanceTracker tracker;
+  REQUIRE(MayBeOlderThanNode(tracker));
+  InstanceReport report;
+  report.incarnation.id = "i-1";
+  report.service = "s";
+  report.sequence = 40;
+  ApplyReport(Millis{1000}, report, tracker);
+  REQUIRE(MayBeOlderThanNode(tracker));
+  report.incarnation.id = "i-2";
+  report.sequence = 1;
+  ApplyReport(Millis{2000}, report, tracker);
+  REQUIRE_FALSE(MayBeOlderThanNode(tracker));
+  report.sequence = 9;
+  ApplyReport(Millis{3000}, report, tracker);
+  REQUIRE_FALSE(MayBeOlderThanNode(tracker));
+}
+
+}  // namespace
+}  // namespace almondlink::control
--- a/libs/control/tests/link_silence_test.cc
+++ b/libs/control/tests/link_silence_test.cc
@@ -12,27 +12,29 @@
                        std::int64_t until,
                        std::int64_t answers_after) {
   LinkSilence link;
-  link.heard = Millis{0};
-  link.asked = Millis{-1};
-  link.first_asked = Millis{-1};
-  link.calls_out = 1;
+  link.last_received = Millis{0};
+  link.last_ping = Millis{-1};
+  link.first_unanswered_ping = Millis{-1};
+  link.waiting_calls = 1;
   std::int64_t answer_at = -1;
   for (std::int64_t now = start; now <= until; now += 100) {
     link.now = Millis{now};
     if (answer_at >= 0 && now >= answer_at) {
-      link.heard = Millis{answer_at};
+      link.last_received = Millis{answer_at};
       answer_at = -1;
     }
-    switch (StepOnSilence(link)) {
-      case SilenceStep::kNothing:
+    switch (EvaluateSilence(link)) {
+      case SilenceAction::kNothing:
         break;
-      case SilenceStep::kAsk:
-        link.first_asked =
-            link.first_asked > link.heard ? link.first_asked : link.now;
-        link.asked = link.now;
+      case SilenceAction::kPing:
+        link.first_unanswered_ping =
+            link.first_unanswered_ping > link.last_received
+                ? link.first_unanswered_ping
+                : link.now;
+        link.last_ping = link.now;
         answer_at = answers_after < 0 ? -1 : now + answers_after;
         break;
-      case SilenceStep::kSuspect:
+      case SilenceAction::kSuspect:
         return now;
     }
   }
@@ -54,7 +56,7 @@
 TEST_CASE("without calls out nobody is asked") {
   LinkSilence link;
   link.now = Millis{5000};
-  REQUIRE(StepOnSilence(link) == SilenceStep::kNothing);
+  REQUIRE(EvaluateSilence(link) == SilenceAction::kNothing);
 }
 
 }  // namespace
--- a/libs/control/tests/membership_test.cc
+++ b/libs/control/tests/membership_test.cc
@@ -123,7 +123,7 @@
           {}, MakeMember("n" + std::to_string(i), 1, 1, MemberState::kAlive),
           Millis{0}, node);
       for (auto& [name, entry] : node.members) {
-        entry.passed_on = 1000;
+        entry.transmissions = 1000;
       }
     }
   }
--- a/libs/control/tests/blame_fleet.h
+++ b/libs/control/tests/quarantine_fleet.h
@@ -1,5 +1,5 @@
-#ifndef ALMONDLINK_LIBS_CONTROL_TESTS_BLAME_FLEET_H_
-#define ALMONDLINK_LIBS_CONTROL_TESTS_BLAME_FLEET_H_
+#ifndef ALMONDLINK_LIBS_CONTROL_TESTS_QUARANTINE_FLEET_H_
+#define ALMONDLINK_LIBS_CONTROL_TESTS_QUARANTINE_FLEET_H_
 
 #include <cstdint>
 #include <functional>
@@ -8,8 +8,8 @@
 #include <set>
 #include <vector>
 
-#include "almondlink/control/blame.h"
-#include "almondlink/control/trial_book.h"
+#include "almondlink/control/quarantine.h"
+#include "almondlink/control/trial_registry.h"
 
 /// Nodes and the targets of one service in virtual time, with requests that end
 /// targets, and ends that no request is to blame for. News between nodes takes
@@ -21,40 +21,40 @@
   /// The first so many nodes have a target of the service.
   int targets = 4;
   /// Time from node to node.
-  Millis hop{2};
+  Millis latency{2};
   /// A run takes this long; a deadly one ends its target after as much.
-  Millis work{90};
+  Millis run_time{90};
   /// A target that ended is back after this.
-  Millis back{3000};
+  Millis restart_time{3000};
   /// Targets that one attempt of a caller may be sent to.
   int attempts = 2;
   /// A request waits so long for a trial.
-  Millis patience{600};
+  Millis trial_wait{600};
   std::uint32_t seed = 1;
 };
 
 /// What became of the requests that callers sent.
 struct FleetCounts {
   int sent = 0;
-  int whole = 0;
+  int completed = 0;
   /// Not sent on because targets ended under the same request.
   int refused = 0;
   int lost = 0;
   /// No target was there.
-  int turned_away = 0;
+  int without_target = 0;
 };
 
-class BlameFleet {
+class QuarantineFleet {
  public:
-  explicit BlameFleet(const FleetSpec& spec);
+  explicit QuarantineFleet(const FleetSpec& spec);
 
   /// A caller sends a request at a node, at a time. Contents below
   /// kFirstInnocent end the targets that run them.
   void Send(Millis at, int node, std::uint64_t content);
-  static constexpr std::uint64_t kFirstInnocent = 1'000'000;
+  static constexpr std::uint64_t kFirstHarmless = 1'000'000;
 
   /// A target ends by itself.
-  void EndTarget(Millis at, int target);
+  void CrashTarget(Millis at, int target);
   /// The node's links are down for a time: it hears and tells nothing, and its
   /// callers reach its own target only.
   void CutOff(Millis at, int node, Millis span);
@@ -63,7 +63,7 @@
 
   void RunUntil(Millis end);
 
-  const FleetCounts& Innocent() const { return this->innocent; }
+  const FleetCounts& Harmless() const { return this->harmless; }
   const FleetCounts& Deadly() const { return this->deadly; }
   /// Times at which targets began to run each deadly request, in order.
   const std::vector<Millis>& RunsOf(std::uint64_t content) {
@@ -71,18 +71,18 @@
   }
   /// Of these, how many were more than `after` later than the third end.
   int LateRuns(std::uint64_t content, Millis after);
-  int Ends() const { return this->ends; }
+  int Crashes() const { return this->crashes; }
 
  private:
   struct Node {
-    BlameTable table;
-    TrialBook book;
-    bool is_cut = false;
-    int start = 0;
+    QuarantineTable table;
+    TrialRegistry registry;
+    bool is_cut_off = false;
+    int incarnation = 0;
   };
   struct Target {
     bool is_up = true;
-    std::uint64_t start = 0;
+    std::uint64_t incarnation = 0;
     std::set<int> jobs;
   };
   struct Job {
@@ -91,20 +91,20 @@
     int target = -1;
     int attempts = 0;
     bool is_on_trial = false;
-    Millis held_until;
+    Millis wait_until;
   };
 
-  void At(Millis at, std::function<void()> what);
-  void Between(int from, int to, const std::function<void()>& what);
+  void Schedule(Millis at, std::function<void()> action);
+  void Deliver(int from, int to, const std::function<void()>& action);
   void Attempt(int id);
-  void Ask(int id);
+  void RequestTrial(int id);
   void Dispatch(int id, int target);
-  void EndNow(int target);
-  void OnWhole(int id);
-  void OnTargetEnd(int id, std::uint64_t start);
+  void Crash(int target);
+  void OnCompleted(int id);
+  void OnTargetCrash(int id, std::uint64_t incarnation);
   void EndTrial(Job& job);
-  void Tell(int node, std::uint64_t content);
-  int Keeper(int node) const;
+  void Report(int node, std::uint64_t content);
+  int TrialGranter(int node) const;
   int ChooseTarget(int node, int except);
   FleetCounts& CountsOf(std::uint64_t content);
   RequestDigest DigestOf(std::uint64_t content) const {
@@ -112,7 +112,7 @@
   }
 
   FleetSpec spec;
-  BlameRules rules;
+  QuarantineRules rules;
   Millis now;
   std::mt19937 random;
   std::multimap<std::int64_t, std::function<void()>> events;
@@ -120,13 +120,13 @@
   std::vector<Target> targets;
   std::map<int, Job> jobs;
   int last_job = 0;
-  std::uint64_t last_start = 0;
-  int ends = 0;
-  FleetCounts innocent;
+  std::uint64_t last_incarnation = 0;
+  int crashes = 0;
+  FleetCounts harmless;
   FleetCounts deadly;
   std::map<std::uint64_t, std::vector<Millis>> runs;
 };
 
 }  // namespace almondlink::control::test
 
-#endif  // ALMONDLINK_LIBS_CONTROL_TESTS_BLAME_FLEET_H_
+#endif  // ALMONDLINK_LIBS_CONTROL_TESTS_QUARANTINE_FLEET_H_
--- a/libs/control/tests/quota_lending_test.cc
+++ b/libs/control/tests/quota_lending_test.cc
@@ -24,7 +24,7 @@
   REQUIRE(Lend(kRules, kSmall, 1, Millis{60'000}, 10, bucket).granted == 10);
   const QuotaLoan rest = Lend(kRules, kSmall, 1, Millis{60'000}, 10, bucket);
   REQUIRE(rest.granted == 6);
-  REQUIRE(rest.next > Millis{0});
+  REQUIRE(rest.next_request > Millis{0});
   // The next caller comes after those four that were turned away.
   const QuotaLoan none = Lend(kRules, kSmall, 1, Millis{60'000}, 1, bucket);
   REQUIRE(none.granted == 0);
@@ -35,14 +35,14 @@
 TEST_CASE("a fresh lender's bucket holds next to nothing") {
   const QuotaBucket bucket =
       StartBucket(kRules, kLarge, 1, Millis{5000}, Millis{5000});
-  REQUIRE(bucket.tokens.tokens == FreshTokens(kRules, kLarge));
-  const double room =
+  REQUIRE(bucket.bucket.tokens == InitialTokens(kRules, kLarge));
+  const double margin =
       kRules.over * (kLarge.per_s * 5 + kLarge.burst) + kRules.slack;
-  REQUIRE(2 * bucket.tokens.tokens < room);
+  REQUIRE(2 * bucket.bucket.tokens < margin);
   // What was earned since it became the lender is there.
   const QuotaBucket later =
       StartBucket(kRules, kLarge, 1, Millis{5000}, Millis{5500});
-  REQUIRE(later.tokens.tokens == Approx(bucket.tokens.tokens + 262));
+  REQUIRE(later.bucket.tokens == Approx(bucket.bucket.tokens + 262));
 }
 
 TEST_CASE("a lowered limit takes what is beyond its burst away") {
@@ -53,60 +53,64 @@
 TEST_CASE("both sides of a cut together lend no more than the whole") {
   for (std::uint32_t all = 1; all <= 100; ++all) {
     for (std::uint32_t side = 1; side < all; ++side) {
-      const double sum = LentPart(side, all) + LentPart(all - side, all);
+      const double sum =
+          LendableShare(side, all) + LendableShare(all - side, all);
       REQUIRE(sum <= 1 + kRules.over);
     }
-    REQUIRE(LentPart(all, all) == 1);
+    REQUIRE(LendableShare(all, all) == 1);
   }
 }
 
 // ---- the borrower ----
 
 TEST_CASE("a token that was not used can be used again, but not much later") {
-  QuotaPurse purse;
+  QuotaBorrower borrower;
   const Millis now{10'000};
-  REQUIRE(TakeQuota(now, purse) == QuotaAnswer::kAsk);
-  REQUIRE(AskFor(now, 1, purse) == 1);
+  REQUIRE(TakeQuota(now, borrower) == QuotaDecision::kRequestTokens);
+  REQUIRE(TokensToRequest(now, 1, borrower) == 1);
   // One ask at a time.
-  REQUIRE(AskFor(now, 2, purse) == 0);
-  TakeLoan(now, {1, Millis{0}, Millis{0}, true}, purse);
-  REQUIRE(TakeFromStock(now, purse));
-  GiveBack(now, purse);
-  REQUIRE(TakeQuota(now + Millis{100}, purse) == QuotaAnswer::kTaken);
-  GiveBack(now + Millis{100}, purse);
-  REQUIRE(TakeQuota(now + Millis{1000}, purse) == QuotaAnswer::kAsk);
+  REQUIRE(TokensToRequest(now, 2, borrower) == 0);
+  ApplyLoan(now, {1, Millis{0}, Millis{0}, true}, borrower);
+  REQUIRE(TakeBorrowed(now, borrower));
+  GiveBack(now, borrower);
+  REQUIRE(TakeQuota(now + Millis{100}, borrower) == QuotaDecision::kTaken);
+  GiveBack(now + Millis{100}, borrower);
+  REQUIRE(TakeQuota(now + Millis{1000}, borrower) ==
+          QuotaDecision::kRequestTokens);
 }
 
 TEST_CASE("an account that is over its limit is told so without asking") {
-  QuotaPurse purse;
+  QuotaBorrower borrower;
   const Millis now{10'000};
-  REQUIRE(TakeQuota(now, purse) == QuotaAnswer::kAsk);
-  REQUIRE(AskFor(now, 1, purse) == 1);
-  TakeLoan(now, {0, Millis{100}, Millis{900}, false}, purse);
-  REQUIRE(TakeQuota(now + Millis{50}, purse) == QuotaAnswer::kOver);
-  REQUIRE(AskFor(now + Millis{50}, 1, purse) == 0);
-  REQUIRE(TakeQuota(now + Millis{100}, purse) == QuotaAnswer::kAsk);
+  REQUIRE(TakeQuota(now, borrower) == QuotaDecision::kRequestTokens);
+  REQUIRE(TokensToRequest(now, 1, borrower) == 1);
+  ApplyLoan(now, {0, Millis{100}, Millis{900}, false}, borrower);
+  REQUIRE(TakeQuota(now + Millis{50}, borrower) == QuotaDecision::kOverLimit);
+  REQUIRE(TokensToRequest(now + Millis{50}, 1, borrower) == 0);
+  REQUIRE(TakeQuota(now + Millis{100}, borrower) ==
+          QuotaDecision::kRequestTokens);
   // Where there will be a token at once the caller waits for it.
-  TakeLoan(now + Millis{100}, {0, Millis{20}, Millis{30}, false}, purse);
-  REQUIRE(TakeQuota(now + Millis{110}, purse) == QuotaAnswer::kAsk);
+  ApplyLoan(now + Millis{100}, {0, Millis{20}, Millis{30}, false}, borrower);
+  REQUIRE(TakeQuota(now + Millis{110}, borrower) ==
+          QuotaDecision::kRequestTokens);
 }
 
 TEST_CASE("while the lender is silent a node goes on by what it was lent") {
-  QuotaPurse purse;
+  QuotaBorrower borrower;
   Millis now{10'000};
   for (int i = 0; i < 200; ++i) {
     now = now + Millis{10};
-    REQUIRE(TakeQuota(now, purse) == QuotaAnswer::kAsk);
-    REQUIRE(AskFor(now, 1, purse) >= 1);
-    TakeLoan(now, {1, Millis{0}, Millis{0}, false}, purse);
-    REQUIRE(TakeFromStock(now, purse));
+    REQUIRE(TakeQuota(now, borrower) == QuotaDecision::kRequestTokens);
+    REQUIRE(TokensToRequest(now, 1, borrower) >= 1);
+    ApplyLoan(now, {1, Millis{0}, Millis{0}, false}, borrower);
+    REQUIRE(TakeBorrowed(now, borrower));
   }
-  REQUIRE(AskFor(now, 1, purse) >= 1);
-  REQUIRE_FALSE(TakeOwn(now, purse));
+  REQUIRE(TokensToRequest(now, 1, borrower) >= 1);
+  REQUIRE_FALSE(TakeFallback(now, borrower));
   int taken = 0;
   for (int i = 0; i < 5000; ++i) {
     now = now + Millis{1};
-    taken += TakeOwn(now, purse) ? 1 : 0;
+    taken += TakeFallback(now, borrower) ? 1 : 0;
   }
   // 100 per second before: for two and a half seconds, and not for ever.
   REQUIRE(taken > 150);
@@ -128,19 +132,19 @@
   for (const QuotaLimit& limit : {kSmall, kLarge}) {
     for (const std::size_t nodes : {3, 30, 82}) {
       CAPTURE(limit.per_s, nodes);
-      QuotaWorld calm = MakeWorld(nodes, limit);
-      const std::unique_ptr<QuotaWay> below = MakeLending(calm, 1);
-      const QuotaOutcome under =
-          Drive(calm, *below, PlanOf(limit, 0.625 * limit.per_s, nodes), 1);
+      QuotaWorld idle_world = MakeWorld(nodes, limit);
+      const std::unique_ptr<QuotaScheme> below = MakeLending(idle_world, 1);
+      const QuotaOutcome under = Drive(
+          idle_world, *below, PlanOf(limit, 0.625 * limit.per_s, nodes), 1);
       const double asked = static_cast<double>(under.asked);
-      REQUIRE(static_cast<double>(under.let_in) > 0.999 * asked);
-      QuotaWorld hot = MakeWorld(nodes, limit);
-      const std::unique_ptr<QuotaWay> above = MakeLending(hot, 1);
+      REQUIRE(static_cast<double>(under.admitted) > 0.999 * asked);
+      QuotaWorld busy_world = MakeWorld(nodes, limit);
+      const std::unique_ptr<QuotaScheme> above = MakeLending(busy_world, 1);
       const QuotaOutcome over =
-          Drive(hot, *above, PlanOf(limit, 8 * limit.per_s, nodes), 1);
-      REQUIRE(over.most_over <= 0);
+          Drive(busy_world, *above, PlanOf(limit, 8 * limit.per_s, nodes), 1);
+      REQUIRE(over.max_excess <= 0);
       // 27 seconds are counted.
-      REQUIRE(static_cast<double>(over.let_in) > 0.95 * limit.per_s * 27);
+      REQUIRE(static_cast<double>(over.admitted) > 0.95 * limit.per_s * 27);
     }
   }
 }
@@ -155,21 +159,21 @@
       return node % 5 == turn % 5 ? 1.5 * limit.per_s / 6 : 0;
     };
     QuotaWorld world = MakeWorld(nodes, limit);
-    const std::unique_ptr<QuotaWay> way = MakeLending(world, 2);
-    const QuotaOutcome outcome = Drive(world, *way, plan, 2);
+    const std::unique_ptr<QuotaScheme> scheme = MakeLending(world, 2);
+    const QuotaOutcome outcome = Drive(world, *scheme, plan, 2);
     CAPTURE(limit.per_s);
-    REQUIRE(outcome.most_over <= 0);
-    REQUIRE(static_cast<double>(outcome.let_in) > 0.95 * limit.per_s * 27);
+    REQUIRE(outcome.max_excess <= 0);
+    REQUIRE(static_cast<double>(outcome.admitted) > 0.95 * limit.per_s * 27);
   }
 }
 
 /// Troubles of one run, drawn from its seed.
-struct Troubles {
+struct Faults {
   std::mt19937 random;
   QuotaLimit limit;
   Millis next{2000};
 
-  void operator()(QuotaWorld& world, QuotaWay& way) {
+  void operator()(QuotaWorld& world, QuotaScheme& scheme) {
     if (world.now < this->next) {
       return;
     }
@@ -185,7 +189,7 @@
       world.is_down[i] = kind == 2 && is_hit;
       const bool is_restarted = (kind == 3) || (kind == 4 && is_hit);
       if (is_back || (is_restarted && !was_frozen)) {
-        way.Restart(i);
+        scheme.Restart(i);
         world.started[i] = world.now;
       }
     }
@@ -199,12 +203,12 @@
     const std::size_t nodes = 3 + random() % 40;
     const double times = 0.5 + static_cast<double>(random() % 80) / 10;
     QuotaPlan plan = PlanOf(limit, times * limit.per_s, nodes);
-    plan.trouble = Troubles{std::mt19937(seed * 7919), limit};
+    plan.inject_faults = Faults{std::mt19937(seed * 7919), limit};
     QuotaWorld world = MakeWorld(nodes, limit);
-    const std::unique_ptr<QuotaWay> way = MakeLending(world, seed);
-    const QuotaOutcome outcome = Drive(world, *way, plan, seed);
+    const std::unique_ptr<QuotaScheme> scheme = MakeLending(world, seed);
+    const QuotaOutcome outcome = Drive(world, *scheme, plan, seed);
     CAPTURE(seed, nodes, times, limit.per_s);
-    CHECK(outcome.most_over <= 0);
+    CHECK(outcome.max_excess <= 0);
   }
 }
 
@@ -214,7 +218,7 @@
   plan.limit = [](Millis at) {
     return at < Millis{12'000} ? kLarge : QuotaLimit{100, 100};
   };
-  plan.trouble = [](QuotaWorld& world, QuotaWay&) {
+  plan.inject_faults = [](QuotaWorld& world, QuotaScheme&) {
     const bool is_cut =
         world.now > Millis{11'000} && world.now < Millis{23'000};
     for (std::size_t i = 0; i < world.nodes / 3; ++i) {
@@ -222,8 +226,8 @@
     }
   };
   QuotaWorld world = MakeWorld(nodes, kLarge);
-  const std::unique_ptr<QuotaWay> way = MakeLending(world, 3);
-  REQUIRE(Drive(world, *way, plan, 3).most_over <= 0);
+  const std::unique_ptr<QuotaScheme> scheme = MakeLending(world, 3);
+  REQUIRE(Drive(world, *scheme, plan, 3).max_excess <= 0);
 }
 
 // ---- the ways that were weighed ----
@@ -234,19 +238,19 @@
   struct Load {
     const char* name;
     double times;
-    std::function<void(QuotaWorld&, QuotaWay&)> trouble;
+    std::function<void(QuotaWorld&, QuotaScheme&)> inject_faults;
     bool is_moving;
   };
-  const auto cut_third = [](QuotaWorld& world, QuotaWay&) {
+  const auto cut_third = [](QuotaWorld& world, QuotaScheme&) {
     const bool is_cut = world.now > Millis{9000} && world.now < Millis{21'000};
     for (std::size_t i = 0; i < world.nodes * 35 / 100; ++i) {
       world.is_cut[i] = is_cut;
     }
   };
-  const auto restart_all = [](QuotaWorld& world, QuotaWay& way) {
+  const auto restart_all = [](QuotaWorld& world, QuotaScheme& scheme) {
     if (world.now == Millis{15'000}) {
       for (std::size_t i = 0; i < world.nodes; ++i) {
-        way.Restart(i);
+        scheme.Restart(i);
         world.started[i] = world.now;
       }
     }
@@ -264,10 +268,10 @@
       for (int kind = 0; kind < 3; ++kind) {
         const std::size_t nodes = 82;
         QuotaWorld world = MakeWorld(nodes, limit);
-        const std::unique_ptr<QuotaWay> way = kind == 0 ? MakeEqualParts(world)
-                                              : kind == 1
-                                                  ? MakePartsByDemand(world)
-                                                  : MakeLending(world, 1);
+        const std::unique_ptr<QuotaScheme> scheme =
+            kind == 0   ? MakeEqualShares(world)
+            : kind == 1 ? MakeSharesByDemand(world)
+                        : MakeLending(world, 1);
         QuotaPlan plan = PlanOf(limit, load.times * limit.per_s, nodes);
         if (load.is_moving) {
           plan.demand = [&limit, &load](Millis at, std::size_t node) {
@@ -275,17 +279,17 @@
             return node % 5 == turn % 5 ? load.times * limit.per_s / 16.4 : 0;
           };
         }
-        plan.trouble = load.trouble;
-        const QuotaOutcome outcome = Drive(world, *way, plan, 1);
+        plan.inject_faults = load.inject_faults;
+        const QuotaOutcome outcome = Drive(world, *scheme, plan, 1);
         const char* names[] = {"equal parts", "by demand", "lender"};
         std::printf(
             "%5.0f/s  %-32s %-12s let in %.3f of asked, %.3f of limit, "
             "over bound %6.0f, messages/s a node %.1f\n",
             limit.per_s, load.name, names[kind],
-            static_cast<double>(outcome.let_in) /
+            static_cast<double>(outcome.admitted) /
                 static_cast<double>(outcome.asked),
-            static_cast<double>(outcome.let_in) / (limit.per_s * 27),
-            outcome.most_over,
+            static_cast<double>(outcome.admitted) / (limit.per_s * 27),
+            outcome.max_excess,
             static_cast<double>(outcome.messages) / (30.0 * nodes));
       }
     }
--- a/libs/control/tests/quota_network.cc
+++ b/libs/control/tests/quota_network.cc
@@ -10,80 +10,80 @@
 
 constexpr double kMillisPerSecond = 1000;
 /// As nodes use them: libs/relay.
-constexpr Millis kSettle{250};
-constexpr Millis kPatience{100};
+constexpr Millis kSettleTime{250};
+constexpr Millis kMaxTokenWait{100};
 constexpr Millis kSweep{50};
-constexpr Millis kTell{300};
-constexpr Millis kSuspended{600};
+constexpr Millis kReportInterval{300};
+constexpr Millis kSuspensionTime{600};
 /// One way between two nodes, in milliseconds.
-constexpr std::int64_t kLeastDelay = 1;
-constexpr std::int64_t kMostDelay = 3;
+constexpr std::int64_t kMinDelay = 1;
+constexpr std::int64_t kMaxDelayMs = 3;
 
-class EqualParts : public QuotaWay {
+class EqualShares : public QuotaScheme {
  public:
-  explicit EqualParts(QuotaWorld& world_in)
+  explicit EqualShares(QuotaWorld& world_in)
       : world(world_in), buckets(world_in.nodes) {}
 
   void Request(std::size_t node, std::function<void(bool)> answer) override {
-    const double part = 1.0 / static_cast<double>(this->world.nodes);
-    RateLimit& bucket = this->buckets[node];
-    Refill(this->world.limit.per_s * part,
-           std::max(1.0, this->world.limit.burst * part), this->world.now,
+    const double share = 1.0 / static_cast<double>(this->world.nodes);
+    TokenBucket& bucket = this->buckets[node];
+    Refill(this->world.limit.per_s * share,
+           std::max(1.0, this->world.limit.burst * share), this->world.now,
            bucket);
     const bool has_token = bucket.tokens >= 1;
     bucket.tokens -= has_token ? 1 : 0;
     answer(has_token);
   }
   void Restart(std::size_t node) override {
-    this->buckets[node] = RateLimit();
-    this->buckets[node].is_started = true;
-    this->buckets[node].filled = this->world.now;
+    this->buckets[node] = TokenBucket();
+    this->buckets[node].is_initialized = true;
+    this->buckets[node].filled_at = this->world.now;
   }
   void Step() override {}
 
  private:
   QuotaWorld& world;
-  std::vector<RateLimit> buckets;
+  std::vector<TokenBucket> buckets;
 };
 
-class PartsByDemand : public QuotaWay {
+class SharesByDemand : public QuotaScheme {
  public:
-  explicit PartsByDemand(QuotaWorld& world_in)
+  explicit SharesByDemand(QuotaWorld& world_in)
       : world(world_in),
         buckets(world_in.nodes),
         demand(world_in.nodes),
-        told(world_in.nodes * world_in.nodes, 0.0) {}
+        reported(world_in.nodes * world_in.nodes, 0.0) {}
 
   void Request(std::size_t node, std::function<void(bool)> answer) override {
     ++this->demand[node].events;
-    const double part = this->PartOf(node);
-    RateLimit& bucket = this->buckets[node];
-    Refill(this->world.limit.per_s * part,
-           std::max(1.0, this->world.limit.burst * part), this->world.now,
+    const double share = this->ShareOf(node);
+    TokenBucket& bucket = this->buckets[node];
+    Refill(this->world.limit.per_s * share,
+           std::max(1.0, this->world.limit.burst * share), this->world.now,
            bucket);
     const bool has_token = bucket.tokens >= 1;
     bucket.tokens -= has_token ? 1 : 0;
     answer(has_token);
   }
   void Restart(std::size_t node) override {
-    this->buckets[node] = RateLimit();
-    this->buckets[node].is_started = true;
-    this->buckets[node].filled = this->world.now;
+    this->buckets[node] = TokenBucket();
+    this->buckets[node].is_initialized = true;
+    this->buckets[node].filled_at = this->world.now;
     this->demand[node] = RateMeter();
     for (std::size_t i = 0; i < this->world.nodes; ++i) {
-      this->told[node * this->world.nodes + i] = 0;
+      this->reported[node * this->world.nodes + i] = 0;
     }
   }
   void Step() override {
-    if (this->world.now.count % kTell.count != 0) {
+    if (this->world.now.count % kReportInterval.count != 0) {
       return;
     }
     for (std::size_t a = 0; a < this->world.nodes; ++a) {
-      UpdateRate(static_cast<double>(kTell.count), kMillisPerSecond,
+      UpdateRate(static_cast<double>(kReportInterval.count), kMillisPerSecond,
                  this->demand[a]);
       for (std::size_t b = 0; b < this->world.nodes; ++b) {
         if (this->world.CanTalk(a, b)) {
-          this->told[b * this->world.nodes + a] = this->demand[a].per_s;
+          this->reported[b * this->world.nodes + a] = this->demand[a].per_s;
           this->messages += a == b ? 0 : 1;
         }
       }
@@ -92,23 +92,23 @@
 
  private:
   /// The demand told last, of silent nodes too, and an equal rest.
-  double PartOf(std::size_t node) const {
+  double ShareOf(std::size_t node) const {
     const double rest =
         0.1 * this->world.limit.per_s / static_cast<double>(this->world.nodes);
     double sum = 0;
     for (std::size_t i = 0; i < this->world.nodes; ++i) {
-      sum += this->told[node * this->world.nodes + i] + rest;
+      sum += this->reported[node * this->world.nodes + i] + rest;
     }
-    return (this->told[node * this->world.nodes + node] + rest) / sum;
+    return (this->reported[node * this->world.nodes + node] + rest) / sum;
   }
 
   QuotaWorld& world;
-  std::vector<RateLimit> buckets;
+  std::vector<TokenBucket> buckets;
   std::vector<RateMeter> demand;
-  std::vector<double> told;
+  std::vector<double> reported;
 };
 
-class Lending : public QuotaWay {
+class Lending : public QuotaScheme {
  public:
   Lending(QuotaWorld& world_in, unsigned seed)
       : world(world_in), nodes(world_in.nodes), random(seed) {
@@ -119,17 +119,18 @@
 
   void Request(std::size_t node, std::function<void(bool)> answer) override {
     Node& own = this->nodes[node];
-    switch (TakeQuota(this->world.now, own.purse)) {
-      case QuotaAnswer::kTaken:
+    switch (TakeQuota(this->world.now, own.borrower)) {
+      case QuotaDecision::kTaken:
         answer(true);
-        this->Ask(node);
+        this->RequestTokens(node);
         return;
-      case QuotaAnswer::kOver:
+      case QuotaDecision::kOverLimit:
         answer(false);
         return;
-      case QuotaAnswer::kAsk:
-        own.waiters.push_back({this->world.now + kPatience, std::move(answer)});
-        this->Ask(node);
+      case QuotaDecision::kRequestTokens:
+        own.waiters.push_back(
+            {this->world.now + kMaxTokenWait, std::move(answer)});
+        this->RequestTokens(node);
     }
   }
 
@@ -166,7 +167,7 @@
   };
   struct Node {
     std::uint64_t rank = 0;
-    QuotaPurse purse;
+    QuotaBorrower borrower;
     bool has_bucket = false;
     QuotaBucket bucket;
     std::deque<Waiter> waiters;
@@ -178,7 +179,7 @@
   std::size_t Lender(std::size_t seen_from) const {
     std::size_t best = seen_from;
     for (std::size_t i = 0; i < this->nodes.size(); ++i) {
-      if (this->world.Believes(seen_from, i) &&
+      if (this->world.IsReachable(seen_from, i) &&
           this->nodes[i].rank > this->nodes[best].rank) {
         best = i;
       }
@@ -190,7 +191,7 @@
     Node& own = this->nodes[node];
     std::uint64_t seen = 0;
     for (std::size_t i = 0; i < this->nodes.size(); ++i) {
-      seen += this->world.Believes(node, i) ? this->nodes[i].rank : 0;
+      seen += this->world.IsReachable(node, i) ? this->nodes[i].rank : 0;
     }
     if (seen != own.view) {
       own.view = seen;
@@ -206,7 +207,7 @@
 
   void NoteSuspension(std::size_t node) {
     Node& own = this->nodes[node];
-    if (this->world.now - own.last_tick > kSuspended) {
+    if (this->world.now - own.last_tick > kSuspensionTime) {
       own.has_bucket = false;
       own.view_since = this->world.now;
     }
@@ -215,24 +216,24 @@
   bool LendAt(std::size_t node, std::uint32_t wanted, QuotaLoan& loan) {
     Node& own = this->nodes[node];
     const Millis now = this->world.now;
-    const bool is_settled = now - this->world.started[node] >= kSettle;
+    const bool is_settled = now - this->world.started[node] >= kSettleTime;
     if (!is_settled || this->Lender(node) != node) {
       return false;
     }
     std::uint32_t reached = 0;
     for (std::size_t i = 0; i < this->nodes.size(); ++i) {
-      reached += this->world.Believes(node, i) ? 1 : 0;
+      reached += this->world.IsReachable(node, i) ? 1 : 0;
     }
-    const double part =
-        LentPart(reached, static_cast<std::uint32_t>(this->nodes.size()));
+    const double share =
+        LendableShare(reached, static_cast<std::uint32_t>(this->nodes.size()));
     this->NoteSuspension(node);
     if (!own.has_bucket) {
       own.has_bucket = true;
       own.bucket =
-          StartBucket(this->world.rules, this->world.limit, part,
+          StartBucket(this->world.rules, this->world.limit, share,
                       std::max(own.view_since, this->world.started[node]), now);
     }
-    loan = Lend(this->world.rules, this->world.limit, part, now, wanted,
+    loan = Lend(this->world.rules, this->world.limit, share, now, wanted,
                 own.bucket);
     return true;
   }
@@ -240,8 +241,8 @@
   void Send(std::size_t from, std::size_t to, std::function<void()> deliver) {
     ++this->messages;
     const std::int64_t delay =
-        kLeastDelay + static_cast<std::int64_t>(this->random() %
-                                                (kMostDelay - kLeastDelay + 1));
+        kMinDelay + static_cast<std::int64_t>(this->random() %
+                                              (kMaxDelayMs - kMinDelay + 1));
     this->mail.emplace(this->world.now.count + delay,
                        [this, from, to, deliver = std::move(deliver)]() {
                          if (this->world.CanTalk(from, to)) {
@@ -250,11 +251,11 @@
                        });
   }
 
-  void Ask(std::size_t node) {
+  void RequestTokens(std::size_t node) {
     Node& own = this->nodes[node];
-    const std::uint32_t wanted =
-        AskFor(this->world.now, static_cast<std::uint32_t>(own.waiters.size()),
-               own.purse);
+    const std::uint32_t wanted = TokensToRequest(
+        this->world.now, static_cast<std::uint32_t>(own.waiters.size()),
+        own.borrower);
     if (wanted == 0) {
       return;
     }
@@ -262,7 +263,7 @@
     if (lender == node) {
       QuotaLoan loan;
       if (this->LendAt(node, wanted, loan)) {
-        TakeLoan(this->world.now, loan, own.purse);
+        ApplyLoan(this->world.now, loan, own.borrower);
         this->Serve(node);
       }
       return;
@@ -273,7 +274,7 @@
         return;
       }
       this->Send(lender, node, [this, node, loan]() {
-        TakeLoan(this->world.now, loan, this->nodes[node].purse);
+        ApplyLoan(this->world.now, loan, this->nodes[node].borrower);
         this->Serve(node);
       });
     });
@@ -283,17 +284,17 @@
     Node& own = this->nodes[node];
     const Millis now = this->world.now;
     while (!own.waiters.empty()) {
-      if (TakeFromStock(now, own.purse) || TakeOwn(now, own.purse)) {
+      if (TakeBorrowed(now, own.borrower) || TakeFallback(now, own.borrower)) {
         const std::function<void(bool)> answer =
             std::move(own.waiters.front().answer);
         own.waiters.pop_front();
         answer(true);
         continue;
       }
-      const bool is_empty =
-          now < own.purse.empty_until && !IsWorthWaiting(own.purse.wait);
-      if (!is_empty && now < own.waiters.front().until) {
-        this->Ask(node);
+      const bool is_exhausted =
+          now < own.borrower.exhausted_until && !IsShortWait(own.borrower.wait);
+      if (!is_exhausted && now < own.waiters.front().until) {
+        this->RequestTokens(node);
         return;
       }
       const std::function<void(bool)> answer =
@@ -309,11 +310,11 @@
   std::multimap<std::int64_t, std::function<void()>> mail;
 };
 
-void Hear(QuotaWorld& world) {
+void ExchangeHeartbeats(QuotaWorld& world) {
   for (std::size_t a = 0; a < world.nodes; ++a) {
     for (std::size_t b = 0; b < world.nodes; ++b) {
       if (world.CanTalk(a, b)) {
-        world.heard[a * world.nodes + b] = world.now;
+        world.last_heard[a * world.nodes + b] = world.now;
       }
     }
   }
@@ -321,15 +322,15 @@
 
 }  // namespace
 
-std::unique_ptr<QuotaWay> MakeEqualParts(QuotaWorld& world) {
-  return std::make_unique<EqualParts>(world);
+std::unique_ptr<QuotaScheme> MakeEqualShares(QuotaWorld& world) {
+  return std::make_unique<EqualShares>(world);
 }
 
-std::unique_ptr<QuotaWay> MakePartsByDemand(QuotaWorld& world) {
-  return std::make_unique<PartsByDemand>(world);
+std::unique_ptr<QuotaScheme> MakeSharesByDemand(QuotaWorld& world) {
+  return std::make_unique<SharesByDemand>(world);
 }
 
-std::unique_ptr<QuotaWay> MakeLending(QuotaWorld& world, unsigned seed) {
+std::unique_ptr<QuotaScheme> MakeLending(QuotaWorld& world, unsigned seed) {
   return std::make_unique<Lending>(world, seed);
 }
 
@@ -342,28 +343,28 @@
   world.is_frozen.assign(nodes, false);
   world.is_down.assign(nodes, false);
   world.started.assign(nodes, Millis{0});
-  world.heard.assign(nodes * nodes, Millis{1000});
+  world.last_heard.assign(nodes * nodes, Millis{1000});
   return world;
 }
 
 QuotaOutcome Drive(QuotaWorld& world,
-                   QuotaWay& way,
+                   QuotaScheme& scheme,
                    const QuotaPlan& plan,
                    unsigned seed) {
   QuotaOutcome outcome;
   std::mt19937 random(seed);
   const Millis begin = world.now;
   const auto length = static_cast<std::size_t>(plan.length.count);
-  std::vector<std::uint32_t> let_in(length, 0);
+  std::vector<std::uint32_t> admitted(length, 0);
   for (std::size_t ms = 0; ms < length; ++ms) {
     world.now = begin + Millis{static_cast<std::int64_t>(ms)};
     const Millis at = world.now - begin;
     world.limit = plan.limit(at);
-    if (plan.trouble) {
-      plan.trouble(world, way);
+    if (plan.inject_faults) {
+      plan.inject_faults(world, scheme);
     }
-    Hear(world);
-    way.Step();
+    ExchangeHeartbeats(world);
+    scheme.Step();
     for (std::size_t node = 0; node < world.nodes; ++node) {
       if (!world.IsAlive(node)) {
         continue;
@@ -373,10 +374,10 @@
       for (int left = draw(random); left > 0; --left) {
         const bool is_counted = at >= plan.from;
         outcome.asked += is_counted ? 1 : 0;
-        way.Request(node, [&, begin, is_counted](bool is_let_in) {
-          outcome.let_in += is_counted && is_let_in ? 1 : 0;
+        scheme.Request(node, [&, begin, is_counted](bool is_admitted) {
+          outcome.admitted += is_counted && is_admitted ? 1 : 0;
           const auto slot = static_cast<std::size_t>((world.now - begin).count);
-          let_in[slot] += is_let_in ? 1 : 0;
+          admitted[slot] += is_admitted ? 1 : 0;
         });
       }
     }
@@ -384,24 +385,24 @@
   const auto window = static_cast<std::size_t>(world.rules.window.count);
   double sum = 0;
   for (std::size_t ms = 0; ms < length; ++ms) {
-    sum += let_in[ms];
-    sum -= ms >= window ? let_in[ms - window] : 0;
+    sum += admitted[ms];
+    sum -= ms >= window ? admitted[ms - window] : 0;
     // The most that was allowed at any time of the window.
     const std::size_t first = ms >= window ? ms - window : 0;
     const QuotaLimit now_limit =
         plan.limit(Millis{static_cast<std::int64_t>(ms)});
     const QuotaLimit then_limit =
         plan.limit(Millis{static_cast<std::int64_t>(first)});
-    const QuotaLimit& most =
+    const QuotaLimit& larger_limit =
         now_limit.per_s > then_limit.per_s ? now_limit : then_limit;
     const double window_s =
         static_cast<double>(world.rules.window.count) / kMillisPerSecond;
-    const double bound =
-        (most.per_s * window_s + most.burst) * (1 + world.rules.over) +
-        world.rules.slack;
-    outcome.most_over = std::max(outcome.most_over, sum - bound);
+    const double bound = (larger_limit.per_s * window_s + larger_limit.burst) *
+                             (1 + world.rules.over) +
+                         world.rules.slack;
+    outcome.max_excess = std::max(outcome.max_excess, sum - bound);
   }
-  outcome.messages = way.messages;
+  outcome.messages = scheme.messages;
   return outcome;
 }
 
--- a/libs/control/tests/quota_network.h
+++ b/libs/control/tests/quota_network.h
@@ -26,7 +26,7 @@
   std::vector<bool> is_frozen;
   std::vector<bool> is_down;
   /// When `a` heard of `b` last, index a * nodes + b; and when each started.
-  std::vector<Millis> heard;
+  std::vector<Millis> last_heard;
   std::vector<Millis> started;
 
   bool IsAlive(std::size_t node) const {
@@ -37,16 +37,17 @@
            (a == b || (!this->is_cut[a] && !this->is_cut[b]));
   }
   /// Whether `a` still takes `b` for reachable.
-  bool Believes(std::size_t a, std::size_t b) const {
+  bool IsReachable(std::size_t a, std::size_t b) const {
     constexpr Millis kSuspect{800};
-    return a == b || this->now - this->heard[a * this->nodes + b] < kSuspect;
+    return a == b ||
+           this->now - this->last_heard[a * this->nodes + b] < kSuspect;
   }
 };
 
 /// A way of sharing a limit over nodes.
-class QuotaWay {
+class QuotaScheme {
  public:
-  virtual ~QuotaWay() = default;
+  virtual ~QuotaScheme() = default;
   /// A request comes to a node; true if it is let in within its patience,
   /// `answer` is called once with the decision.
   virtual void Request(std::size_t node, std::function<void(bool)> answer) = 0;
@@ -58,19 +59,19 @@
 };
 
 /// Equal parts: each node has its part of the limit whatever is asked of it.
-std::unique_ptr<QuotaWay> MakeEqualParts(QuotaWorld& world);
+std::unique_ptr<QuotaScheme> MakeEqualShares(QuotaWorld& world);
 /// Parts by demand: each node tells its demand every 300 ms; all divide the
 /// limit by what they were told last. Who is not heard of keeps its part.
-std::unique_ptr<QuotaWay> MakePartsByDemand(QuotaWorld& world);
+std::unique_ptr<QuotaScheme> MakeSharesByDemand(QuotaWorld& world);
 /// One lender (quota_lending.h), as nodes use it.
-std::unique_ptr<QuotaWay> MakeLending(QuotaWorld& world, unsigned seed);
+std::unique_ptr<QuotaScheme> MakeLending(QuotaWorld& world, unsigned seed);
 
 /// What came of a run.
 struct QuotaOutcome {
   std::uint64_t asked = 0;
-  std::uint64_t let_in = 0;
+  std::uint64_t admitted = 0;
   /// Most that was let in beyond the bound in any window; below 0 within it.
-  double most_over = -1e9;
+  double max_excess = -1e9;
   std::uint64_t messages = 0;
 };
 
@@ -79,7 +80,7 @@
   Millis length{30'000};
   /// Requests per second at a node.
   std::function<double(Millis, std::size_t)> demand;
-  std::function<void(QuotaWorld&, QuotaWay&)> trouble;
+  std::function<void(QuotaWorld&, QuotaScheme&)> inject_faults;
   /// The largest limit that is in force at a time; the bound goes by it.
   std::function<QuotaLimit(Millis)> limit;
   /// Counted from here on.
@@ -87,7 +88,7 @@
 };
 
 QuotaOutcome Drive(QuotaWorld& world,
-                   QuotaWay& way,
+                   QuotaScheme& scheme,
                    const QuotaPlan& plan,
                    unsigned seed);
 
--- a/libs/control/tests/relay_decisions_test.cc
+++ b/libs/control/tests/relay_decisions_test.cc
@@ -2,7 +2,7 @@
 #include <map>
 #include <random>
 
-#include "almondlink/control/instance_ledger.h"
+#include "almondlink/control/instance_tracker.h"
 #include "almondlink/control/placement.h"
 #include "almondlink/control/repeat_allowance.h"
 
@@ -74,7 +74,7 @@
   // Pattern: two of three targets lose two fifths of their answers; five
   // failures in a row are rare, so neither is set aside.
   std::vector<PlaceView> views = {Open(47, 20, 15), Open(47, 20, 15)};
-  views[0].health.failing = 0.4;
+  views[0].health.failure_rate = 0.4;
   REQUIRE(ChoosePlace(PlaceRules(), views, Millis{0}, PlaceDraws()) == 1U);
   // It still takes what the other cannot.
   views[1].told_load = 100;
@@ -87,14 +87,14 @@
   TargetHealth health;
   HealthRules rules;
   for (int i = 0; i < 200; ++i) {
-    NoteHealth(rules, Millis{i}, i % 2 == 0, 0.5, health);
+    RecordOutcome(rules, Millis{i}, i % 2 == 0, 0.5, health);
   }
   for (int i = 0; i < 5; ++i) {
-    REQUIRE_FALSE(NoteHealth(rules, Millis{200}, true, 0.5, health));
+    REQUIRE_FALSE(RecordOutcome(rules, Millis{200}, true, 0.5, health));
   }
   REQUIRE(MayUse(Millis{201}, health));
   // One that alone fails is.
-  REQUIRE(NoteHealth(rules, Millis{202}, true, 0.02, health));
+  REQUIRE(RecordOutcome(rules, Millis{202}, true, 0.02, health));
 }
 
 TEST_CASE("neither closed nor tried targets are chosen") {
@@ -113,12 +113,12 @@
   rules.window = Millis{10'000};
   rules.fixed = 47;
   rules.nodes = 13;
-  rules.used_part = 1;
+  rules.usable_share = 1;
   int repeats = 0;
   for (std::uint32_t node = 0; node < rules.nodes; ++node) {
     RepeatAllowance allowance;
     for (int i = 0; i < 100; ++i) {
-      NoteRequest(rules, Millis{1000 + i * 10}, allowance);
+      RecordRequest(rules, Millis{1000 + i * 10}, allowance);
       repeats += TakeRepeat(rules, 0, Millis{1000 + i * 10}, allowance) ? 1 : 0;
     }
   }
@@ -128,13 +128,13 @@
 
 TEST_CASE("repeats that came with a repeated run leave less for others") {
   RepeatRules rules;
-  rules.used_part = 0.5;
+  rules.usable_share = 0.5;
   RepeatAllowance allowance;
   for (int i = 0; i < 100; ++i) {
-    NoteRequest(rules, Millis{1000}, allowance);
+    RecordRequest(rules, Millis{1000}, allowance);
   }
   for (int i = 0; i < 10; ++i) {
-    NoteRepeat(rules, Millis{1000}, allowance);
+    RecordRepeat(rules, Millis{1000}, allowance);
   }
   REQUIRE_FALSE(TakeRepeat(rules, 0, Millis{1000}, allowance));
   // The window has passed; nothing is owed and nothing is saved up.
@@ -145,7 +145,7 @@
 
 InstanceReport Report(const std::string& id, std::uint64_t sequence) {
   InstanceReport report;
-  report.start.id = id;
+  report.incarnation.id = id;
   report.service = "stock";
   report.capacity = 50;
   report.sequence = sequence;
@@ -166,10 +166,10 @@
     // A hundred chains a second; a third of each priority.
     const Millis now{1000 + i * 10};
     const std::uint32_t priority = static_cast<std::uint32_t>(i) % 3;
-    const double place = RepeatPlace({priority, kCalls, 0, random()});
+    const double place = RepeatRank({priority, kCalls, 0, random()});
     bool is_whole = true;
     for (int call = 0; call < kCalls && is_whole; ++call) {
-      NoteRequest(rules, now, allowance);
+      RecordRequest(rules, now, allowance);
       is_whole =
           draw(random) < 0.5 ||
           (TakeRepeat(rules, place, now, allowance) && draw(random) < 0.5);
@@ -193,7 +193,7 @@
   rules.nodes = 2;
   RepeatAllowance allowance;
   for (int i = 0; i < 10; ++i) {
-    NoteRequest(rules, Millis{1000}, allowance);
+    RecordRequest(rules, Millis{1000}, allowance);
     REQUIRE(TakeRepeat(rules, 0.99, Millis{1000}, allowance));
   }
 }
@@ -201,7 +201,7 @@
 TEST_CASE("the place of a request is by priority first") {
   const auto place = [](std::uint32_t priority, double calls,
                         std::uint64_t hash) {
-    return RepeatPlace({priority, calls, 0, hash});
+    return RepeatRank({priority, calls, 0, hash});
   };
   REQUIRE(place(0, 8, ~0ULL) < place(1, 1, 0));
   REQUIRE(place(1, 8, ~0ULL) < place(2, 1, 0));
@@ -213,71 +213,71 @@
 
 TEST_CASE("what has most of its chain behind it is sent again first") {
   const auto place = [](std::uint32_t done, std::uint64_t hash) {
-    return RepeatPlace({1, 4, done, hash});
+    return RepeatRank({1, 4, done, hash});
   };
   REQUIRE(place(3, ~0ULL) < place(2, 0));
   REQUIRE(place(2, ~0ULL) < place(1, 0));
   REQUIRE(place(1, ~0ULL) < place(0, 0));
   REQUIRE(place(0, 1ULL << 40) < place(0, 1ULL << 50));
   // Never before a more urgent one.
-  REQUIRE(RepeatPlace({0, 4, 0, ~0ULL}) < place(3, 0));
+  REQUIRE(RepeatRank({0, 4, 0, ~0ULL}) < place(3, 0));
 }
 
 TEST_CASE("a late report of an ended instance does not bring it back") {
   // Pattern: a report that was held up arrives after its sender has ended and
   // another instance took over the address.
-  InstanceLedger ledger;
-  TakeReport(Millis{0}, Report("old", 7), ledger);
-  REQUIRE(TakeReport(Millis{1}, Report("new", 1), ledger) ==
+  InstanceTracker ledger;
+  ApplyReport(Millis{0}, Report("old", 7), ledger);
+  REQUIRE(ApplyReport(Millis{1}, Report("new", 1), ledger) ==
           ReportEffect::kChanged);
-  REQUIRE(TakeReport(Millis{2}, Report("old", 6), ledger) ==
+  REQUIRE(ApplyReport(Millis{2}, Report("old", 6), ledger) ==
           ReportEffect::kIgnored);
-  REQUIRE(ledger.current.start.id == "new");
+  REQUIRE(ledger.current.incarnation.id == "new");
 }
 
 TEST_CASE("one that was replaced by mistake comes back by a newer report") {
-  InstanceLedger ledger;
-  TakeReport(Millis{0}, Report("living", 7), ledger);
-  TakeReport(Millis{1}, Report("late", 3), ledger);
-  REQUIRE(TakeReport(Millis{2}, Report("living", 8), ledger) ==
+  InstanceTracker ledger;
+  ApplyReport(Millis{0}, Report("living", 7), ledger);
+  ApplyReport(Millis{1}, Report("late", 3), ledger);
+  REQUIRE(ApplyReport(Millis{2}, Report("living", 8), ledger) ==
           ReportEffect::kChanged);
-  REQUIRE(ledger.current.start.id == "living");
+  REQUIRE(ledger.current.incarnation.id == "living");
 }
 
 TEST_CASE("an instance that leaves stays leaving, also over a restart") {
   // Pattern: the node is restarted after it acknowledged the leave; peers
   // remember it; a ready report that was under way arrives late.
-  InstanceLedger ledger;
-  RememberLeft(Millis{0}, {"going", 0}, ledger);
+  InstanceTracker ledger;
+  RestoreDeparted(Millis{0}, {"going", 0}, ledger);
   REQUIRE(ledger.phase == InstancePhase::kNone);
-  TakeReport(Millis{1}, Report("going", 9), ledger);
+  ApplyReport(Millis{1}, Report("going", 9), ledger);
   REQUIRE(ledger.phase == InstancePhase::kLeaving);
 }
 
 TEST_CASE("a leave without a report counts, and not again") {
-  InstanceLedger ledger;
-  TakeReport(Millis{0}, Report("a", 1), ledger);
-  REQUIRE(TakeLeave(Millis{5}, {"a", 0}, ledger) == ReportEffect::kChanged);
-  REQUIRE(TakeLeave(Millis{9}, {"a", 0}, ledger) == ReportEffect::kRefreshed);
+  InstanceTracker ledger;
+  ApplyReport(Millis{0}, Report("a", 1), ledger);
+  REQUIRE(ApplyLeave(Millis{5}, {"a", 0}, ledger) == ReportEffect::kChanged);
+  REQUIRE(ApplyLeave(Millis{9}, {"a", 0}, ledger) == ReportEffect::kRefreshed);
   REQUIRE(ledger.leaving_since == Millis{5});
-  REQUIRE(TakeLeave(Millis{9}, {"b", 0}, ledger) == ReportEffect::kIgnored);
+  REQUIRE(ApplyLeave(Millis{9}, {"b", 0}, ledger) == ReportEffect::kIgnored);
 }
 
 TEST_CASE("a leaving instance does not displace a living one") {
-  InstanceLedger ledger;
-  TakeReport(Millis{0}, Report("living", 1), ledger);
+  InstanceTracker ledger;
+  ApplyReport(Millis{0}, Report("living", 1), ledger);
   InstanceReport leaving = Report("other", 5);
   leaving.is_leaving = true;
-  REQUIRE(TakeReport(Millis{1}, leaving, ledger) == ReportEffect::kIgnored);
-  REQUIRE(ledger.current.start.id == "living");
+  REQUIRE(ApplyReport(Millis{1}, leaving, ledger) == ReportEffect::kIgnored);
+  REQUIRE(ledger.current.incarnation.id == "living");
 }
 
 TEST_CASE("the last slots of an instance stay free") {
-  InstanceLedger ledger;
+  InstanceTracker ledger;
   REQUIRE(UsableSlots(ledger) == 0);
   InstanceReport report = Report("a", 1);
   report.capacity = 43;
-  TakeReport(Millis{0}, report, ledger);
+  ApplyReport(Millis{0}, report, ledger);
   REQUIRE(UsableSlots(ledger) == 40);
 }
 
--- a/libs/control/tests/repeat_allowance_test.cc
+++ b/libs/control/tests/repeat_allowance_test.cc
@@ -12,17 +12,17 @@
 namespace {
 
 constexpr int kNodes = 13;
-constexpr int kSends = 12;
+constexpr int kMaxAttempts = 12;
 constexpr std::int64_t kEnd = 40'000;
-constexpr std::int64_t kTold = 200;
+constexpr std::int64_t kReportInterval = 200;
 
 struct Node {
   RepeatAllowance allowance;
   std::int64_t started = -20'000;
-  bool is_remembered = false;
+  bool has_restored_counts = false;
   /// Its clock against the others'.
   std::int64_t offset = 0;
-  RepeatCounts told;
+  RepeatCounts reported;
 };
 
 /// Requests a second for one service at a node, and the part refused.
@@ -31,12 +31,12 @@
   double refused = 0;
 };
 
-struct Seen {
+struct Outcome {
   /// Arrivals by millisecond: requests, and those beyond the first of each.
   std::vector<int> requests = std::vector<int>(kEnd);
   std::vector<int> repeats = std::vector<int>(kEnd);
-  int whole = 0;
-  int asked = 0;
+  int completed = 0;
+  int first_attempts = 0;
 
   int Sum(const std::vector<int>& counts, std::int64_t end) const {
     int sum = 0;
@@ -47,14 +47,15 @@
     return sum;
   }
   /// Repeats over the bound, in the worst window; at most 1 if it is kept.
-  double Worst(const RepeatRules& rules, std::int64_t step = 50) const {
+  double WorstRatio(const RepeatRules& rules, std::int64_t step = 50) const {
     double worst = 0;
     for (std::int64_t end = 1000; end <= kEnd; end += step) {
-      const int most = std::max({this->Sum(this->requests, end),
-                                 this->Sum(this->requests, end - 5000),
-                                 this->Sum(this->requests, end - 10'000)});
+      const int max_requests =
+          std::max({this->Sum(this->requests, end),
+                    this->Sum(this->requests, end - 5000),
+                    this->Sum(this->requests, end - 10'000)});
       worst = std::max(worst, this->Sum(this->repeats, end) /
-                                  (rules.ratio * most + rules.fixed));
+                                  (rules.ratio * max_requests + rules.fixed));
     }
     return worst;
   }
@@ -64,7 +65,7 @@
   RepeatRules rules;
   rules.fixed = 50;
   rules.nodes = kNodes;
-  rules.used_part = 0.9;
+  rules.usable_share = 0.9;
   return rules;
 }
 
@@ -72,9 +73,9 @@
 /// `restarts(node, now)`: the node starts anew in this millisecond, and learns
 /// what it told before if `has_peers`.
 template <typename LoadOf, typename Restarts>
-Seen Play(const LoadOf& load_of,
-          const Restarts& restarts,
-          bool has_peers = true) {
+Outcome Simulate(const LoadOf& load_of,
+                 const Restarts& restarts,
+                 bool has_peers = true) {
   RepeatRules rules = Rules();
   std::mt19937_64 random(7);
   std::uniform_real_distribution<double> draw(0, 1);
@@ -82,7 +83,7 @@
   for (Node& node : nodes) {
     node.offset = static_cast<std::int64_t>(1e7 * draw(random));
   }
-  Seen seen;
+  Outcome outcome;
   for (std::int64_t now = 0; now < kEnd; ++now) {
     for (int i = 0; i < kNodes; ++i) {
       Node& node = nodes[static_cast<std::size_t>(i)];
@@ -90,49 +91,52 @@
       if (restarts(i, now)) {
         node.allowance = RepeatAllowance();
         node.started = now;
-        node.is_remembered = has_peers;
+        node.has_restored_counts = has_peers;
         if (has_peers) {
-          Remember(rules, own, node.told, node.allowance);
+          RestoreCounts(rules, own, node.reported, node.allowance);
         }
-        node.told = RepeatCounts();
+        node.reported = RepeatCounts();
       }
-      rules.is_fresh = !node.is_remembered && now - node.started < 10'000;
-      if (now % kTold == i) {
-        node.told = CountsOf(rules, own, node.allowance);
+      rules.is_restarted =
+          !node.has_restored_counts && now - node.started < 10'000;
+      if (now % kReportInterval == i) {
+        node.reported = WindowCounts(rules, own, node.allowance);
       }
       const Load load = load_of(i, now);
       std::poisson_distribution<int> arrivals(
           std::max(1e-9, load.per_s / 1000));
       for (int request = arrivals(random); request > 0; --request) {
-        NoteRequest(rules, own, node.allowance);
-        ++seen.requests[static_cast<std::size_t>(now)];
-        ++seen.asked;
-        bool is_whole = draw(random) >= load.refused;
-        for (int sends = 1; !is_whole && sends < kSends; ++sends) {
-          RepeatCounts sums = CountsOf(rules, own, node.allowance);
+        RecordRequest(rules, own, node.allowance);
+        ++outcome.requests[static_cast<std::size_t>(now)];
+        ++outcome.first_attempts;
+        bool is_completed = draw(random) >= load.refused;
+        for (int attempts = 1; !is_completed && attempts < kMaxAttempts;
+             ++attempts) {
+          RepeatCounts sums = WindowCounts(rules, own, node.allowance);
           for (const Node& other : nodes) {
-            if (&other != &node && other.told.repeats > 0) {
-              sums.now += other.told.now;
-              sums.half_before += other.told.half_before;
-              sums.before += other.told.before;
-              sums.repeats += other.told.repeats;
+            if (&other != &node && other.reported.repeats > 0) {
+              sums.requests += other.reported.requests;
+              sums.requests_half_earlier +=
+                  other.reported.requests_half_earlier;
+              sums.requests_previous += other.reported.requests_previous;
+              sums.repeats += other.reported.repeats;
             }
           }
-          if (!HasSharedRoom(rules, sums) ||
+          if (!HasSharedCapacity(rules, sums) ||
               !TakeRepeat(rules, 0, own, node.allowance)) {
             break;
           }
-          ++seen.repeats[static_cast<std::size_t>(now)];
-          is_whole = draw(random) >= load.refused;
+          ++outcome.repeats[static_cast<std::size_t>(now)];
+          is_completed = draw(random) >= load.refused;
         }
-        seen.whole += is_whole ? 1 : 0;
+        outcome.completed += is_completed ? 1 : 0;
       }
     }
   }
-  return seen;
+  return outcome;
 }
 
-bool Never(int /*node*/, std::int64_t /*now*/) {
+bool NoRestarts(int /*node*/, std::int64_t /*now*/) {
   return false;
 }
 
@@ -141,11 +145,11 @@
   // come meanwhile, since chains of calls die early.
   const auto load = [](int node, std::int64_t now) {
     const bool is_short = now >= 15'000 && now < 23'000;
-    const double part = node < 3 ? 1.0 : 0.1;
-    return Load{part * (is_short ? 150 : 300), is_short ? 0.55 : 0.0};
+    const double share = node < 3 ? 1.0 : 0.1;
+    return Load{share * (is_short ? 150 : 300), is_short ? 0.55 : 0.0};
   };
-  const Seen seen = Play(load, Never);
-  const double used = seen.Worst(Rules());
+  const Outcome outcome = Simulate(load, NoRestarts);
+  const double used = outcome.WorstRatio(Rules());
   REQUIRE(used <= 1);
   REQUIRE(used > 0.8);
 }
@@ -155,7 +159,7 @@
     const double swing = 1 + 0.5 * std::sin(static_cast<double>(now) / 2000);
     return Load{60 * swing, now > 3000 ? 0.8 : 0.0};
   };
-  REQUIRE(Play(load, Never).Worst(Rules()) <= 1);
+  REQUIRE(Simulate(load, NoRestarts).WorstRatio(Rules()) <= 1);
 }
 
 TEST_CASE("the bound holds while load moves from node to node") {
@@ -164,7 +168,7 @@
     const std::int64_t turn = now / 5000 % 3;
     return Load{node % 3 == turn ? 300.0 : 30.0, now > 5000 ? 0.6 : 0.0};
   };
-  REQUIRE(Play(load, Never).Worst(Rules()) <= 1);
+  REQUIRE(Simulate(load, NoRestarts).WorstRatio(Rules()) <= 1);
 }
 
 TEST_CASE("the bound holds while nodes start anew") {
@@ -174,7 +178,7 @@
   const auto restarts = [](int node, std::int64_t now) {
     return now == 12'000 + node * 700 || now == 24'000 + node * 70;
   };
-  REQUIRE(Play(load, restarts).Worst(Rules()) <= 1);
+  REQUIRE(Simulate(load, restarts).WorstRatio(Rules()) <= 1);
 }
 
 TEST_CASE("the bound holds when all nodes are lost at once") {
@@ -185,7 +189,7 @@
   const auto restarts = [](int /*node*/, std::int64_t now) {
     return now == 20'000 || now == 33'000;
   };
-  REQUIRE(Play(load, restarts, false).Worst(Rules()) <= 1);
+  REQUIRE(Simulate(load, restarts, false).WorstRatio(Rules()) <= 1);
 }
 
 TEST_CASE("a burst at the end of load does not break later windows") {
@@ -193,7 +197,7 @@
     const bool is_last = now >= 19'000 && now < 20'000;
     return Load{now < 20'000 ? 200.0 : 5.0, is_last ? 0.9 : 0.3};
   };
-  REQUIRE(Play(load, Never).Worst(Rules()) <= 1);
+  REQUIRE(Simulate(load, NoRestarts).WorstRatio(Rules()) <= 1);
 }
 
 }  // namespace
--- a/libs/control/tests/retry_test.cc
+++ b/libs/control/tests/retry_test.cc
@@ -12,7 +12,7 @@
 
 /// Plays a random call tree in which every attempt may fail or lose its answer
 /// and every holder repeats as often as it may. Counts attempts.
-struct TreePlayer {
+struct CallTree {
   std::mt19937_64 random;
   double failure = 0.5;
   double loss = 0.3;
@@ -30,35 +30,35 @@
       ++this->attempts;
       const std::uint32_t lent = Lend(holder);
       RetryGrant inner{lent};
-      const bool is_fine = this->Work(inner, depth);
+      const bool is_success = this->Work(inner, depth);
       const bool is_lost = this->Chance(this->loss);
       if (!is_lost) {
         GiveBack(holder, lent, inner.available);
       }
-      if ((is_fine && !is_lost) || !TakeRetry(holder)) {
-        return is_fine && !is_lost;
+      if ((is_success && !is_lost) || !TakeRetry(holder)) {
+        return is_success && !is_lost;
       }
     }
   }
 
   bool Work(RetryGrant& grant, int depth) {
     const int calls = depth == 0 ? 0 : static_cast<int>(this->random() % 4);
-    bool is_fine = !this->Chance(this->failure);
+    bool is_success = !this->Chance(this->failure);
     for (int i = 0; i < calls; ++i) {
-      is_fine = this->Call(grant, depth - 1) && is_fine;
+      is_success = this->Call(grant, depth - 1) && is_success;
     }
-    return is_fine;
+    return is_success;
   }
 };
 
 TEST_CASE("attempts of a whole tree never exceed first attempts and grant") {
   for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
-    TreePlayer player;
-    player.random.seed(seed);
+    CallTree tree;
+    tree.random.seed(seed);
     const std::uint32_t grant = static_cast<std::uint32_t>(seed % 9);
     RetryGrant root{grant};
-    player.Call(root, 4);
-    REQUIRE(player.attempts <= player.first_attempts + static_cast<int>(grant));
+    tree.Call(root, 4);
+    REQUIRE(tree.attempts <= tree.first_attempts + static_cast<int>(grant));
   }
 }
 
@@ -123,7 +123,7 @@
 TEST_CASE("at-most-once calls are repeated only when they were not run") {
   FailedAttempt failed;
   failed.is_repeatable = false;
-  failed.left = Millis{1000};
+  failed.time_left = Millis{1000};
   failed.has_other_target = true;
   for (std::uint32_t number = 0; number < kErrorKindCount; ++number) {
     failed.kind = static_cast<ErrorKind>(number);
@@ -139,14 +139,14 @@
 
 TEST_CASE("a caller that comes back when told to is not a repeat") {
   CallerRepeats repeats = MakeCallerRepeats(64);
-  NoteFailedRequest(Millis{1000}, 5, Millis{200}, false, repeats);
+  RecordFailedRequest(Millis{1000}, 5, Millis{200}, false, repeats);
   REQUIRE(IsEarlyRepeat(Millis{1100}, 5, repeats));
   REQUIRE_FALSE(IsEarlyRepeat(Millis{1200}, 5, repeats));
   REQUIRE_FALSE(IsEarlyRepeat(Millis{1100}, 6, repeats));
-  REQUIRE_FALSE(WasUnknown(Millis{1100}, 5, repeats));
-  NoteFailedRequest(Millis{1300}, 5, Millis{-1}, true, repeats);
-  NoteFailedRequest(Millis{1400}, 5, Millis{0}, false, repeats);
-  REQUIRE(WasUnknown(Millis{1500}, 5, repeats));
+  REQUIRE_FALSE(HadUnknownOutcome(Millis{1100}, 5, repeats));
+  RecordFailedRequest(Millis{1300}, 5, Millis{-1}, true, repeats);
+  RecordFailedRequest(Millis{1400}, 5, Millis{0}, false, repeats);
+  REQUIRE(HadUnknownOutcome(Millis{1500}, 5, repeats));
 }
 
 }  // namespace
--- a/libs/control/tests/routing_test.cc
+++ b/libs/control/tests/routing_test.cc
@@ -86,28 +86,28 @@
   TargetHealth health;
   bool is_aside = false;
   for (int i = 0; i < 5; ++i) {
-    is_aside = NoteHealth(HealthRules(), Millis{100}, true, 0, health);
+    is_aside = RecordOutcome(HealthRules(), Millis{100}, true, 0, health);
   }
   REQUIRE(is_aside);
   REQUIRE_FALSE(MayUse(Millis{200}, health));
   REQUIRE(MayUse(Millis{700}, health));
-  NoteSent(Millis{700}, health);
+  RecordSent(Millis{700}, health);
   REQUIRE_FALSE(MayUse(Millis{710}, health));
-  NoteHealth(HealthRules(), Millis{720}, false, 0, health);
+  RecordOutcome(HealthRules(), Millis{720}, false, 0, health);
   REQUIRE(MayUse(Millis{730}, health));
-  NoteSent(Millis{730}, health);
-  NoteHealth(HealthRules(), Millis{740}, false, 0, health);
-  NoteHealth(HealthRules(), Millis{750}, false, 0, health);
-  REQUIRE(health.state == HealthState::kGood);
+  RecordSent(Millis{730}, health);
+  RecordOutcome(HealthRules(), Millis{740}, false, 0, health);
+  RecordOutcome(HealthRules(), Millis{750}, false, 0, health);
+  REQUIRE(health.state == HealthState::kHealthy);
 }
 
 TEST_CASE("a failed trial doubles the wait") {
   TargetHealth health;
   for (int i = 0; i < 5; ++i) {
-    NoteHealth(HealthRules(), Millis{0}, true, 0, health);
+    RecordOutcome(HealthRules(), Millis{0}, true, 0, health);
   }
-  NoteSent(Millis{500}, health);
-  REQUIRE(NoteHealth(HealthRules(), Millis{500}, true, 0, health));
+  RecordSent(Millis{500}, health);
+  REQUIRE(RecordOutcome(HealthRules(), Millis{500}, true, 0, health));
   REQUIRE_FALSE(MayUse(Millis{1400}, health));
   REQUIRE(MayUse(Millis{1500}, health));
 }
@@ -115,8 +115,8 @@
 TEST_CASE("when most targets fail none is set aside") {
   std::vector<TargetView> views = Six();
   for (std::size_t i = 0; i < 4; ++i) {
-    views[i].health.state = HealthState::kSetAside;
-    views[i].health.until = Millis{9000};
+    views[i].health.state = HealthState::kEjected;
+    views[i].health.ejected_until = Millis{9000};
   }
   REQUIRE(OwnShare(views, Millis{5000}) == 1.0);
 }
--- a/libs/control/tests/rate_limit_test.cc
+++ b/libs/control/tests/token_bucket_test.cc
@@ -1,4 +1,4 @@
-#include "almondlink/control/rate_limit.h"
+#include "almondlink/control/token_bucket.h"
 
 #include <catch2/catch.hpp>
 
@@ -6,11 +6,11 @@
 namespace {
 
 TEST_CASE("a source gets its rate and no more, bursts of a second included") {
-  RateLimit limit;
+  TokenBucket limit;
   int taken = 0;
   for (int ms = 0; ms < 10'000; ++ms) {
     for (int i = 0; i < 5; ++i) {
-      taken += TakeFromRate(100, Millis{ms}, limit) ? 1 : 0;
+      taken += TakeToken(100, Millis{ms}, limit) ? 1 : 0;
     }
   }
   // Ten seconds' worth and the burst.
@@ -19,11 +19,11 @@
 }
 
 TEST_CASE("a quiet source saves up one second at most") {
-  RateLimit limit;
-  REQUIRE(TakeFromRate(2, Millis{0}, limit));
-  REQUIRE(TakeFromRate(2, Millis{60'000}, limit));
-  REQUIRE(TakeFromRate(2, Millis{60'000}, limit));
-  REQUIRE_FALSE(TakeFromRate(2, Millis{60'000}, limit));
+  TokenBucket limit;
+  REQUIRE(TakeToken(2, Millis{0}, limit));
+  REQUIRE(TakeToken(2, Millis{60'000}, limit));
+  REQUIRE(TakeToken(2, Millis{60'000}, limit));
+  REQUIRE_FALSE(TakeToken(2, Millis{60'000}, limit));
 }
 
 }  // namespace
--- a/libs/mesh/src/gossip.cc
+++ b/libs/mesh/src/gossip.cc
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "almondlink/base/event_log.h"
-#include "almondlink/control/rate_limit.h"
+#include "almondlink/control/token_bucket.h"
 
 namespace almondlink::mesh {
 
@@ -172,8 +172,8 @@
     ++this->stats.received_messages;
     this->stats.received_bytes += size;
     const bool is_taken_in =
-        size > kMacBytes && control::TakeFromRate(this->config.max_rate,
-                                                  MonotonicNow(), this->rate);
+        size > kMacBytes &&
+        control::TakeToken(this->config.max_rate, MonotonicNow(), this->rate);
     if (!is_taken_in) {
       ++this->stats.refused_messages;
       return;
@@ -430,7 +430,7 @@
   std::map<std::uint64_t, ProbeOut> probes;
   std::uint64_t sequence = 0;
   std::uint64_t rounds = 0;
-  control::RateLimit rate;
+  control::TokenBucket rate;
   std::uint64_t bundle_offset = 0;
   bool is_stopped = false;
   udp::endpoint sender;
--- a/libs/mesh/src/peer_server.cc
+++ b/libs/mesh/src/peer_server.cc
@@ -6,7 +6,7 @@
 #include <websocketpp/server.hpp>
 
 #include "almondlink/base/event_log.h"
-#include "almondlink/control/rate_limit.h"
+#include "almondlink/control/token_bucket.h"
 #include "link_proof.h"
 
 namespace almondlink::mesh {
@@ -25,7 +25,7 @@
   Handle handle;
   policy::Bytes nonce;
   bool is_proved = false;
-  control::RateLimit rate;
+  control::TokenBucket rate;
   std::string node;
 };
 
@@ -152,8 +152,7 @@
 
   Result<void> Dispatch(LinkId id, const std::uint8_t* data, std::size_t size) {
     Link& link = this->links.at(id);
-    if (!control::TakeFromRate(this->config.max_rate, MonotonicNow(),
-                               link.rate)) {
+    if (!control::TakeToken(this->config.max_rate, MonotonicNow(), link.rate)) {
       return Fail(ErrorKind::kBadMessage, "too many messages a second");
     }
     BOOST_LEAF_AUTO(tag, wire::PeekTag(data, size));
--- a/libs/model/src/almondlink_path.cc
+++ b/libs/model/src/almondlink_path.cc
@@ -146,7 +146,7 @@
   Node& node = *this->nodes[call->spec.entry];
   control::TargetView& view = node.views[service][place];
   ++view.in_flight;
-  control::NoteSent(this->world.clock.NowMillis(), view.health);
+  control::RecordSent(this->world.clock.NowMillis(), view.health);
   ++call->attempts;
   ++call->spec.root->calls;
   call->tried.push_back(place);
@@ -197,7 +197,7 @@
       answer.kind == ErrorKind::kNone && !answer.is_whole;
   const bool is_fault = IsTargetFault(answer.kind) ||
                         (is_failed_answer && !answer.is_call_failed);
-  control::NoteHealth(control::HealthRules(), now, is_fault, 0, view.health);
+  control::RecordOutcome(control::HealthRules(), now, is_fault, 0, view.health);
   const bool is_from_node = answer.kind != ErrorKind::kPeerLost &&
                             answer.kind != ErrorKind::kPeerUnreachable;
   if (is_from_node) {
@@ -242,7 +242,7 @@
   failed.is_server_error = answer.kind == ErrorKind::kNone;
   failed.is_repeatable = info.spec->is_repeatable;
   failed.attempts = call->attempts;
-  failed.left = Millis{
+  failed.time_left = Millis{
       static_cast<std::int64_t>(call->deadline_ms - this->world.clock.Now())};
   failed.has_other_target =
       call->tried.size() < this->world.by_service[info.service].size();
@@ -317,9 +317,9 @@
   }
   call->is_over = true;
   if (call->spec.parent == nullptr && !result.is_whole) {
-    control::NoteFailedRequest(this->world.clock.NowMillis(),
-                               call->spec.root->hash, result.retry_after, false,
-                               this->nodes[call->spec.entry]->repeats);
+    control::RecordFailedRequest(this->world.clock.NowMillis(),
+                                 call->spec.root->hash, result.retry_after,
+                                 false, this->nodes[call->spec.entry]->repeats);
   }
   call->done(result);
 }
--- a/libs/model/src/relay_path.cc
+++ b/libs/model/src/relay_path.cc
@@ -173,12 +173,12 @@
   call->target = this->world.by_service[info.service][*place];
   call->tried.push_back(*place);
   ++views[*place].sent_since;
-  control::NoteSent(this->world.clock.NowMillis(), views[*place].health);
+  control::RecordSent(this->world.clock.NowMillis(), views[*place].health);
   ++call->spec.root->calls;
   control::RepeatAllowance& allowance = this->allowances[info.service];
   if (call->attempts == 0) {
-    control::NoteRequest(this->Repeats(), this->world.clock.NowMillis(),
-                         allowance);
+    control::RecordRequest(this->Repeats(), this->world.clock.NowMillis(),
+                           allowance);
   }
   const int attempt = ++call->attempt;
   const bool is_silent =
@@ -294,8 +294,9 @@
       this->nodes[call->spec.entry]->views[info.service][call->place];
   const bool is_fault =
       end == AttemptEnd::kLost || end == AttemptEnd::kRefusedByTarget;
-  control::NoteHealth(this->world.scenario.rules.health,
-                      this->world.clock.NowMillis(), is_fault, 0, view.health);
+  control::RecordOutcome(this->world.scenario.rules.health,
+                         this->world.clock.NowMillis(), is_fault, 0,
+                         view.health);
   if (end == AttemptEnd::kWhole) {
     this->Finish(call, CallResult{true});
     return;
@@ -328,15 +329,15 @@
     return false;
   }
   control::RepeatRules rules = this->Repeats();
-  rules.used_part /= static_cast<double>(info.chain_size);
+  rules.usable_share /= static_cast<double>(info.chain_size);
   const RootRequest& root = *call->spec.root;
-  control::RepeatWant want;
+  control::RepeatCandidate want;
   want.priority = static_cast<std::uint32_t>(root.criticality);
-  want.calls =
+  want.calls_per_root =
       static_cast<double>(this->world.operations[root.operation].chain_size);
-  want.done = control::RunsAt(KeyOf(info.service), root.ran);
+  want.answered_calls = control::RunsAt(KeyOf(info.service), root.ran);
   want.root_hash = root.hash;
-  const double place = control::RepeatPlace(want);
+  const double place = control::RepeatRank(want);
   return control::TakeRepeat(rules, place, this->world.clock.NowMillis(),
                              this->allowances[info.service]);
 }
--- a/libs/model/src/relay_rules.cc
+++ b/libs/model/src/relay_rules.cc
@@ -36,14 +36,14 @@
      [](double v, RelayRules& r) { r.placement.failing_weight = v; }},
     {"set_aside_after", 0, 1000,
      [](double v, RelayRules& r) {
-       r.health.failures = static_cast<std::uint32_t>(v);
+       r.health.consecutive_failures = static_cast<std::uint32_t>(v);
      }},
     {"outlier_factor", 0, 100,
      [](double v, RelayRules& r) { r.health.outlier_factor = v; }},
     {"repeat_used", 0, 1,
-     [](double v, RelayRules& r) { r.repeats.used_part = v; }},
+     [](double v, RelayRules& r) { r.repeats.usable_share = v; }},
     {"repeat_kept", 0, 1,
-     [](double v, RelayRules& r) { r.repeats.kept_part = v; }},
+     [](double v, RelayRules& r) { r.repeats.order_strictness = v; }},
     {"repeat_sends", 1, 32,
      [](double v, RelayRules& r) { r.sends = static_cast<int>(v); }},
 };
--- a/libs/record_log/src/claim_writer.cc
+++ b/libs/record_log/src/claim_writer.cc
@@ -85,7 +85,7 @@
       } else {
         this->Decide(std::move(batch));
       }
-      control::ForgetClaims(MonotonicNow(), Millis{this->claim_life_ms.load()},
+      control::ExpireClaims(MonotonicNow(), Millis{this->claim_life_ms.load()},
                             this->claims);
       const std::lock_guard<std::mutex> guard(this->mutex);
       this->stats.known_keys = this->claims.by_key.size();
@@ -217,7 +217,7 @@
 
   void ApplyPage(const wire::LogPage& page) {
     const bool had_gap = this->claims.has_gap;
-    control::StartClaims(page.first_retained, WallNow(), this->claims);
+    control::SkipToRetained(page.first_retained, WallNow(), this->claims);
     if (this->claims.has_gap && !had_gap) {
       LogEvent(kEventClaimGap,
                {{"stream", this->config.stream.Value()},
--- a/libs/relay/include/almondlink/relay/blame_exchange.h
+++ b/libs/relay/include/almondlink/relay/blame_exchange.h
@@ -5,15 +5,15 @@
 #include <map>
 #include <string>
 
-#include "almondlink/control/blame.h"
-#include "almondlink/control/trial_book.h"
+#include "almondlink/control/quarantine.h"
+#include "almondlink/control/trial_registry.h"
 #include "almondlink/relay/peer_table.h"
 #include "almondlink/relay/relay_settings.h"
 
 /// Requests that targets ended under, between nodes: each node tells all others
 /// of ends and of whole runs as it learns of them, and asks the node that the
 /// service's name chooses for trials. The rules are in
-/// almondlink/control/blame.h.
+/// almondlink/control/quarantine.h.
 ///
 /// Ways weighed: the count at the node that the digest chooses, asked before
 /// each send, knows no race, but an end is counted nowhere while that node is
@@ -38,24 +38,24 @@
   /// Who keeps what a trial has proved where it outlasts all nodes: called by
   /// the node that began the trial only. Each may be null.
   void OnProof(std::function<void(const control::RequestDigest&,
-                                  const control::BlameRecord&)> on_guilty,
+                                  const control::QuarantineRecord&)> on_guilty,
                std::function<void(const control::RequestDigest&)> on_cleared);
   /// Takes what was kept.
   void Take(const control::RequestDigest& digest,
-            const control::BlameRecord& record);
+            const control::QuarantineRecord& record);
 
   /// Whether nothing is known of any request with this path. Where it holds no
   /// digest is needed.
   bool IsBlank(std::uint64_t path) const;
   bool IsEmpty() const { return this->table.records.empty(); }
 
-  control::BlameVerdict Judge(const control::RequestDigest& digest,
-                              Millis now) const;
+  control::QuarantineDecision Judge(const control::RequestDigest& digest,
+                                    Millis now) const;
 
   /// The request was under way where a target ended; told to all. True if that
   /// was not known.
   bool NoteTargetEnd(const control::RequestDigest& digest,
-                     const control::TargetEnd& end,
+                     const control::TargetCrash& end,
                      Millis now);
   /// A target lived through it; told to all. True if anything was known.
   bool NoteWholeRun(const control::RequestDigest& digest);
@@ -88,11 +88,12 @@
   /// Forgets what is too old; call every 100 ms.
   void Tick(Millis now);
 
-  const control::BlameRecord* Find(const control::RequestDigest& digest) const {
-    return control::FindBlame(digest, this->table);
+  const control::QuarantineRecord* Find(
+      const control::RequestDigest& digest) const {
+    return control::FindQuarantine(digest, this->table);
   }
-  const control::BlameTable& Table() const { return this->table; }
-  static const control::BlameRules& Rules();
+  const control::QuarantineTable& Table() const { return this->table; }
+  static const control::QuarantineRules& Rules();
 
  private:
   PeerPointer Keeper(const std::string& service) const;
@@ -106,12 +107,12 @@
   PeerTable& peers;
   OnPermit on_permit;
   std::function<void(const control::RequestDigest&,
-                     const control::BlameRecord&)>
+                     const control::QuarantineRecord&)>
       on_guilty;
   std::function<void(const control::RequestDigest&)> on_cleared;
-  control::BlameTable table;
+  control::QuarantineTable table;
   /// Of the services that this node permits the trials of.
-  control::TrialBook book;
+  control::TrialRegistry book;
   /// When the trial of a request was asked for last.
   std::map<control::RequestDigest, Millis> asked;
 };
--- a/libs/relay/include/almondlink/relay/entry_calls.h
+++ b/libs/relay/include/almondlink/relay/entry_calls.h
@@ -93,7 +93,7 @@
   /// Counts of the services whose requests were sent once more lately.
   std::vector<ServiceRepeats> OwnRepeats(Millis now);
   /// What this node may repeat within the window, and has, by service.
-  std::map<std::string, control::RepeatRoom> RepeatRooms(Millis now);
+  std::map<std::string, control::RepeatCapacity> RepeatRooms(Millis now);
   /// Repeats that were asked for and not given, by service.
   const std::map<std::string, std::uint64_t>& RepeatsDenied() const {
     return this->repeats_denied;
--- a/libs/relay/include/almondlink/relay/peer_frames.h
+++ b/libs/relay/include/almondlink/relay/peer_frames.h
@@ -7,9 +7,9 @@
 #include <string_view>
 #include <vector>
 
-#include "almondlink/control/blame.h"
 #include "almondlink/control/chain_admission.h"
 #include "almondlink/control/demand_meter.h"
+#include "almondlink/control/quarantine.h"
 #include "almondlink/control/quota_lending.h"
 #include "almondlink/control/repeat_allowance.h"
 
@@ -68,7 +68,7 @@
   std::string instance;
   std::uint64_t sequence = 0;
   InstanceState state = InstanceState::kNone;
-  /// Start time of the instance, see control/instance_ledger.h; 0 if not told.
+  /// Start time of the instance, see control/instance_tracker.h; 0 if not told.
   std::uint64_t born = 0;
 };
 
--- a/libs/relay/include/almondlink/relay/quota_exchange.h
+++ b/libs/relay/include/almondlink/relay/quota_exchange.h
@@ -31,7 +31,7 @@
 
   /// Decides a request of the account; call once for each. Accounts without a
   /// limit always have one.
-  control::QuotaAnswer Take(const policy::ClientAccount& account, Millis now);
+  control::QuotaDecision Take(const policy::ClientAccount& account, Millis now);
   /// Whether there is a token now for a request that was to wait for one.
   bool TakeForWaiting(const policy::ClientAccount& account, Millis now);
   /// The request did not run: its token can be used again.
@@ -77,7 +77,7 @@
   PeerTable& peers;
   std::function<void(policy::AccountKey)> on_tokens;
   policy::RouteTablePointer table;
-  std::unordered_map<std::uint32_t, control::QuotaPurse> purses;
+  std::unordered_map<std::uint32_t, control::QuotaBorrower> purses;
   std::unordered_map<std::uint32_t, control::QuotaBucket> buckets;
   /// Hash of the nodes that may be lenders, and since when it is the same.
   std::uint64_t view = 0;
--- a/libs/relay/include/almondlink/relay/relay_node.h
+++ b/libs/relay/include/almondlink/relay/relay_node.h
@@ -12,7 +12,7 @@
 
 #include "almondlink/base/error.h"
 #include "almondlink/base/metrics.h"
-#include "almondlink/control/instance_ledger.h"
+#include "almondlink/control/instance_tracker.h"
 #include "almondlink/policy/route_table.h"
 #include "almondlink/relay/caller_port.h"
 #include "almondlink/relay/entry_calls.h"
@@ -38,7 +38,7 @@
   /// A trial proved that the request ends targets, or a later one that it does
   /// not: to be kept where it outlasts all nodes. Each may be null.
   std::function<void(const control::RequestDigest& digest,
-                     const control::BlameRecord& record)>
+                     const control::QuarantineRecord& record)>
       on_guilty;
   std::function<void(const control::RequestDigest& digest)> on_cleared;
 };
@@ -69,12 +69,12 @@
   /// then.
   Result<void> OnReport(const control::InstanceReport& report,
                         std::function<void()> acknowledge);
-  void OnLeave(const control::InstanceStart& start,
+  void OnLeave(const control::InstanceIncarnation& start,
                std::function<void()> acknowledge);
 
   /// Takes what was kept of a request that ended targets.
   void TakeGuilty(const control::RequestDigest& digest,
-                  const control::BlameRecord& record) {
+                  const control::QuarantineRecord& record) {
     this->entry.Blame().Take(digest, record);
   }
 
--- a/libs/relay/include/almondlink/relay/served_calls.h
+++ b/libs/relay/include/almondlink/relay/served_calls.h
@@ -14,8 +14,8 @@
 #include <vector>
 
 #include "almondlink/control/demand_meter.h"
-#include "almondlink/control/error_share.h"
-#include "almondlink/control/instance_ledger.h"
+#include "almondlink/control/error_rate.h"
+#include "almondlink/control/instance_tracker.h"
 #include "almondlink/relay/peer_frames.h"
 #include "almondlink/relay/target_pool.h"
 
@@ -54,7 +54,8 @@
       on_failed;
   /// The process of that start of the target is gone; `running`: calls that
   /// ended with it.
-  std::function<void(const control::InstanceStart& start, std::size_t running)>
+  std::function<void(const control::InstanceIncarnation& start,
+                     std::size_t running)>
       on_target_ended;
 };
 
@@ -86,7 +87,7 @@
   void SetTargetAddress(const boost::asio::ip::tcp::endpoint& address);
 
   /// Part of the target's slots that is used.
-  void SetUsablePart(double part) { this->ledger.usable_part = part; }
+  void SetUsablePart(double part) { this->ledger.usable_share = part; }
 
   /// Takes a call; exactly one answer follows unless it is cancelled. `held`:
   /// time that the frame was held up on its way.
@@ -95,10 +96,10 @@
   void OnWindow(LinkId link, std::uint32_t id, std::uint32_t bytes);
   void OnLinkClosed(LinkId link);
 
-  /// Reports of the instance; see control/instance_ledger.h.
+  /// Reports of the instance; see control/instance_tracker.h.
   control::ReportEffect OnReport(const control::InstanceReport& report);
-  control::ReportEffect OnLeave(const control::InstanceStart& start);
-  control::ReportEffect Remember(const control::InstanceStart& start);
+  control::ReportEffect OnLeave(const control::InstanceIncarnation& start);
+  control::ReportEffect Remember(const control::InstanceIncarnation& start);
 
   /// The run of the target that `request_id` belongs to, if it is running.
   std::optional<RunInfo> FindRun(const std::string& request_id) const;
@@ -119,7 +120,7 @@
   /// Time-outs and the meter; call every few tens of milliseconds.
   void Sweep(Millis now);
 
-  const control::InstanceLedger& Ledger() const { return this->ledger; }
+  const control::InstanceTracker& Ledger() const { return this->ledger; }
   /// Whether the process of the target is known to be gone.
   bool IsGone() const { return this->is_gone; }
   const control::DemandMeter& Meter() const { return this->meter; }
@@ -168,10 +169,10 @@
   Millis drain;
   ServedEvents events;
   TargetPool pool;
-  control::InstanceLedger ledger;
+  control::InstanceTracker ledger;
   control::DemandMeter meter;
   ServedCounters counters;
-  control::ErrorShare errors;
+  control::ErrorRate errors;
   std::map<CallKey, CallPointer> calls;
   std::map<Order, CallPointer> queue;
   std::unordered_map<std::string, CallPointer> runs;
