--- a/libs/relay/src/blame_exchange.cc
+++ b/libs/relay/src/blame_exchange.cc
@@ -24,20 +24,20 @@
 }
 
 BlameNews NewsOf(const control::RequestDigest& digest,
-                 const control::BlameRecord& record,
+                 const control::QuarantineRecord& record,
                  Millis now) {
   BlameNews news;
   news.digest = digest;
-  news.starts = record.starts;
+  news.starts = record.crashed_incarnations;
   news.failed_trials = record.failed_trials;
-  news.age = now - record.last_end;
+  news.age = now - record.last_crash;
   return news;
 }
 
 }  // namespace
 
-const control::BlameRules& BlameExchange::Rules() {
-  static const control::BlameRules kRules;
+const control::QuarantineRules& BlameExchange::Rules() {
+  static const control::QuarantineRules kRules;
   return kRules;
 }
 
@@ -50,24 +50,25 @@
 
 void BlameExchange::OnProof(
     std::function<void(const control::RequestDigest&,
-                       const control::BlameRecord&)> on_guilty_in,
+                       const control::QuarantineRecord&)> on_guilty_in,
     std::function<void(const control::RequestDigest&)> on_cleared_in) {
   this->on_guilty = std::move(on_guilty_in);
   this->on_cleared = std::move(on_cleared_in);
 }
 
 void BlameExchange::Take(const control::RequestDigest& digest,
-                         const control::BlameRecord& record) {
-  control::MergeBlame(Rules(), BootTimeNow(), digest, record, this->table);
+                         const control::QuarantineRecord& record) {
+  control::MergeQuarantine(Rules(), BootTimeNow(), digest, record, this->table);
 }
 
 bool BlameExchange::IsBlank(std::uint64_t path) const {
-  return !control::KnowsPath(path, this->table);
+  return !control::HasRecordForPath(path, this->table);
 }
 
-control::BlameVerdict BlameExchange::Judge(const control::RequestDigest& digest,
-                                           Millis now) const {
-  return control::Judge(Rules(), now, digest, this->table);
+control::QuarantineDecision BlameExchange::Judge(
+    const control::RequestDigest& digest,
+    Millis now) const {
+  return control::DecideQuarantine(Rules(), now, digest, this->table);
 }
 
 void BlameExchange::TellAll(const BlameFrame& frame) {
@@ -80,12 +81,12 @@
 }
 
 bool BlameExchange::NoteTargetEnd(const control::RequestDigest& digest,
-                                  const control::TargetEnd& end,
+                                  const control::TargetCrash& end,
                                   Millis now) {
-  if (!control::NoteTargetEnd(Rules(), now, digest, end, this->table)) {
+  if (!control::RecordTargetCrash(Rules(), now, digest, end, this->table)) {
     return false;
   }
-  const control::BlameRecord& record = this->table.records[digest];
+  const control::QuarantineRecord& record = this->table.records[digest];
   this->TellAll({{NewsOf(digest, record, now)}});
   if (end.is_on_trial && this->on_guilty) {
     this->on_guilty(digest, record);
@@ -94,9 +95,10 @@
 }
 
 bool BlameExchange::NoteWholeRun(const control::RequestDigest& digest) {
-  const control::BlameRecord* before = this->Find(digest);
+  const control::QuarantineRecord* before = this->Find(digest);
   const bool was_guilty = before != nullptr && before->failed_trials > 0;
-  if (!control::NoteWholeRun(Rules(), BootTimeNow(), digest, this->table)) {
+  if (!control::RecordCompletedRun(Rules(), BootTimeNow(), digest,
+                                   this->table)) {
     return false;
   }
   if (was_guilty && this->on_cleared) {
@@ -121,7 +123,7 @@
   const control::RequestDigest lifted = known->first;
   LogEvent(kEventBlameLifted,
            {{"digest", digest},
-            {"ends", std::to_string(known->second.starts.size())},
+            {"ends", std::to_string(known->second.crashed_incarnations.size())},
             {"failed_trials", std::to_string(known->second.failed_trials)}});
   this->NoteWholeRun(lifted);
   return true;
@@ -130,17 +132,18 @@
 std::string BlameExchange::ListHeld(Millis now) const {
   std::string text = "digest\tends\tfailed_trials\tstate\twait_ms\tage_ms\n";
   for (const auto& [digest, record] : this->table.records) {
-    const control::BlameVerdict verdict = this->Judge(digest, now);
-    if (verdict.step == control::BlameStep::kGo) {
+    const control::QuarantineDecision verdict = this->Judge(digest, now);
+    if (verdict.action == control::QuarantineAction::kAllow) {
       continue;
     }
-    const bool is_refused = verdict.step == control::BlameStep::kRefuse;
+    const bool is_refused =
+        verdict.action == control::QuarantineAction::kRefuse;
     text += control::ToString(digest) + "\t" +
-            std::to_string(record.starts.size()) + "\t" +
+            std::to_string(record.crashed_incarnations.size()) + "\t" +
             std::to_string(record.failed_trials) + "\t" +
             (is_refused ? "refused" : "on-trial") + "\t" +
             std::to_string(verdict.wait.count) + "\t" +
-            std::to_string((now - record.last_end).count) + "\n";
+            std::to_string((now - record.last_crash).count) + "\n";
   }
   return text;
 }
@@ -149,14 +152,14 @@
   const Millis now = BootTimeNow();
   for (const BlameNews& news : frame.news) {
     if (news.is_whole) {
-      control::NoteWholeRun(Rules(), now, news.digest, this->table);
+      control::RecordCompletedRun(Rules(), now, news.digest, this->table);
       continue;
     }
-    control::BlameRecord told;
-    told.starts = news.starts;
+    control::QuarantineRecord told;
+    told.crashed_incarnations = news.starts;
     told.failed_trials = news.failed_trials;
-    told.last_end = now - news.age;
-    control::MergeBlame(Rules(), now, news.digest, told, this->table);
+    told.last_crash = now - news.age;
+    control::MergeQuarantine(Rules(), now, news.digest, told, this->table);
   }
 }
 
@@ -167,7 +170,7 @@
   const Millis now = BootTimeNow();
   BlameFrame frame;
   for (const auto& [digest, record] : this->table.records) {
-    if (control::IsSuspect(Rules(), record)) {
+    if (control::IsQuarantined(Rules(), record)) {
       frame.news.push_back(NewsOf(digest, record, now));
     }
   }
@@ -197,10 +200,10 @@
                                   const std::string& service,
                                   Millis left,
                                   Millis now) {
-  if (this->Judge(digest, now).step == control::BlameStep::kRefuse) {
+  if (this->Judge(digest, now).action == control::QuarantineAction::kRefuse) {
     return {};
   }
-  std::vector<control::TrialPlace> places;
+  std::vector<control::TrialCandidate> places;
   for (const PeerPointer& peer : this->peers.Of(service)) {
     const bool is_open = peer->IsReachable() && !peer->is_suspect &&
                          !peer->told.is_stopping &&
@@ -272,7 +275,7 @@
 }
 
 void BlameExchange::Tick(Millis now) {
-  control::ForgetOldBlame(Rules(), now, this->table);
+  control::ExpireQuarantine(Rules(), now, this->table);
   for (auto entry = this->asked.begin(); entry != this->asked.end();) {
     const bool is_over = now - entry->second > kAskAgain * 2;
     entry = is_over ? this->asked.erase(entry) : std::next(entry);
--- a/libs/relay/src/entry_accounts.cc
+++ b/libs/relay/src/entry_accounts.cc
@@ -176,13 +176,13 @@
   }
   const policy::ClientAccount& account = *call->account;
   switch (this->quotas.Take(account, call->arrived)) {
-    case control::QuotaAnswer::kTaken:
+    case control::QuotaDecision::kTaken:
       call->has_token = true;
       return true;
-    case control::QuotaAnswer::kOver:
+    case control::QuotaDecision::kOverLimit:
       this->RefuseOverQuota(call);
       return false;
-    case control::QuotaAnswer::kAsk:
+    case control::QuotaDecision::kRequestTokens:
       break;
   }
   const std::int64_t part = this->quotas.MayBeUnsettled(call->arrived)
--- a/libs/relay/src/entry_attempts.cc
+++ b/libs/relay/src/entry_attempts.cc
@@ -171,7 +171,7 @@
   call->chosen_slots = peer->told.slots;
   call->chosen_age = now - peer->told_at;
   ++peer->sent_since;
-  control::NoteSent(now, peer->health);
+  control::RecordSent(now, peer->health);
   CallFrame frame;
   frame.id = call->id;
   frame.sent_ms = static_cast<std::uint64_t>(now.count);
@@ -198,9 +198,9 @@
     if (call->info.is_repeat) {
       // Made by a run that was itself a repeat: it counts as one, and not as a
       // request of its own.
-      control::NoteRepeat(this->Repeats(), now, allowance);
+      control::RecordRepeat(this->Repeats(), now, allowance);
     } else {
-      control::NoteRequest(this->Repeats(), now, allowance);
+      control::RecordRequest(this->Repeats(), now, allowance);
     }
   }
   if (peer->is_self) {
@@ -242,7 +242,7 @@
   }
   control::AddCounts(frame.ran, call->ran);
   const bool is_error = frame.status >= kServerError;
-  control::NoteError(is_error, peer->health);
+  control::RecordAnswerError(is_error, peer->health);
   const bool may_repeat = is_error && !frame.has_more &&
                           call->route->is_repeatable &&
                           this->MayMakeGood(*call, peer);
@@ -277,9 +277,9 @@
   const bool is_failure = frame.outcome == CallOutcome::kBroken ||
                           frame.reason == CallReason::kConnectFailed ||
                           frame.outcome == CallOutcome::kRefusedByTarget;
-  return control::NoteHealth(this->settings.decisions.health, BootTimeNow(),
-                             is_failure, this->FailingOfOthers(call, peer),
-                             peer->health);
+  return control::RecordOutcome(this->settings.decisions.health, BootTimeNow(),
+                                is_failure, this->FailingOfOthers(call, peer),
+                                peer->health);
 }
 
 /// How often the other targets of the call's service fail, on average.
@@ -288,7 +288,7 @@
   std::uint32_t others = 0;
   for (const PeerPointer& other : this->peers.Of(call.service)) {
     if (other != peer && IsOpen(*other)) {
-      sum += other->health.failing;
+      sum += other->health.failure_rate;
       ++others;
     }
   }
--- a/libs/relay/src/entry_blame.cc
+++ b/libs/relay/src/entry_blame.cc
@@ -12,7 +12,7 @@
 /// Attempts and repeats are bounded by a request's id, which is new each time
 /// its caller sends it again; what ends targets is its content, wherever it
 /// comes. So a request that more than one target ended under goes no further by
-/// itself, at any node (almondlink/control/blame.h).
+/// itself, at any node (almondlink/control/quarantine.h).
 namespace almondlink::relay {
 
 namespace {
@@ -52,8 +52,8 @@
 /// Whether the request runs on trial only, or not at all.
 bool EntryCalls::IsHeld(const Call& call) const {
   return this->MayBeBlamed(call) &&
-         this->blame.Judge(this->DigestOf(call), BootTimeNow()).step !=
-             control::BlameStep::kGo;
+         this->blame.Judge(this->DigestOf(call), BootTimeNow()).action !=
+             control::QuarantineAction::kAllow;
 }
 
 void EntryCalls::NoteTargetEnd(const CallPointer& call,
@@ -61,10 +61,10 @@
   const StateFrame& target = peer->told;
   const Millis now = BootTimeNow();
   const control::RequestDigest digest = this->DigestOf(*call);
-  const control::TargetEnd end{StableHash(target.instance, target.born),
-                               call->is_on_trial};
+  const control::TargetCrash end{StableHash(target.instance, target.born),
+                                 call->is_on_trial};
   const bool is_new = this->blame.NoteTargetEnd(digest, end, now);
-  const control::BlameRecord* record = this->blame.Find(digest);
+  const control::QuarantineRecord* record = this->blame.Find(digest);
   if (is_new && record != nullptr && WouldLog(kEventUnderWayAtEnd)) {
     LogEvent(kEventUnderWayAtEnd,
              {{"digest", control::ToString(digest)},
@@ -73,9 +73,9 @@
               {"route", call->route->name},
               {"account", call->account == nullptr ? "" : call->account->name},
               {"target", target.instance},
-              {"ends", std::to_string(record->starts.size())},
+              {"ends", std::to_string(record->crashed_incarnations.size())},
               {"failed_trials", std::to_string(record->failed_trials)},
-              {"age_ms", std::to_string((now - record->first_end).count)}});
+              {"age_ms", std::to_string((now - record->first_crash).count)}});
   }
   this->EndTrial(call, "target-ended");
 }
@@ -123,11 +123,11 @@
   }
   const Millis now = BootTimeNow();
   const control::RequestDigest digest = this->DigestOf(*call);
-  const control::BlameVerdict verdict = this->blame.Judge(digest, now);
-  if (verdict.step == control::BlameStep::kGo) {
+  const control::QuarantineDecision verdict = this->blame.Judge(digest, now);
+  if (verdict.action == control::QuarantineAction::kAllow) {
     return true;
   }
-  if (verdict.step == control::BlameStep::kTry &&
+  if (verdict.action == control::QuarantineAction::kTrial &&
       !this->HasOpenTarget(call->service)) {
     // It waits for a target as any other.
     if (!this->WaitsForTarget(call)) {
@@ -139,7 +139,8 @@
     call->held_until =
         now + std::max(call->route->latency_target, kLeastTrialWait);
   }
-  if (verdict.step == control::BlameStep::kRefuse || now >= call->held_until) {
+  if (verdict.action == control::QuarantineAction::kRefuse ||
+      now >= call->held_until) {
     this->RefuseBlamed(call, digest, verdict.wait);
     return false;
   }
@@ -160,19 +161,19 @@
                               const control::RequestDigest& digest,
                               Millis wait) {
   ++this->trials.refused;
-  const control::BlameRecord* record = this->blame.Find(digest);
+  const control::QuarantineRecord* record = this->blame.Find(digest);
   if (record != nullptr && WouldLog(kEventRefusedForEnds)) {
-    LogEvent(
-        kEventRefusedForEnds,
-        {{"digest", control::ToString(digest)},
-         {"request", call->head.id},
-         {"parent", this->ParentOf(*call)},
-         {"route", call->route->name},
-         {"account", call->account == nullptr ? "" : call->account->name},
-         {"ends", std::to_string(record->starts.size())},
-         {"failed_trials", std::to_string(record->failed_trials)},
-         {"age_ms", std::to_string((BootTimeNow() - record->first_end).count)},
-         {"wait_ms", std::to_string(wait.count)}});
+    LogEvent(kEventRefusedForEnds,
+             {{"digest", control::ToString(digest)},
+              {"request", call->head.id},
+              {"parent", this->ParentOf(*call)},
+              {"route", call->route->name},
+              {"account", call->account == nullptr ? "" : call->account->name},
+              {"ends", std::to_string(record->crashed_incarnations.size())},
+              {"failed_trials", std::to_string(record->failed_trials)},
+              {"age_ms",
+               std::to_string((BootTimeNow() - record->first_crash).count)},
+              {"wait_ms", std::to_string(wait.count)}});
   }
   if (call->may_have_run) {
     this->FinishFailed(call, CallReason::kEndsTargets);
--- a/libs/relay/src/entry_repeats.cc
+++ b/libs/relay/src/entry_repeats.cc
@@ -24,7 +24,7 @@
   control::RepeatRules rules = this->settings.repeats;
   rules.nodes = std::max<std::uint32_t>(
       1, static_cast<std::uint32_t>(this->peers.All().size()));
-  rules.is_fresh =
+  rules.is_restarted =
       !this->has_memory && BootTimeNow() - this->started < rules.window;
   return rules;
 }
@@ -33,7 +33,8 @@
   control::RepeatAllowance& allowance = this->allowances[service];
   const auto told = this->remembered.find(ServiceKeyOf(service));
   if (told != this->remembered.end()) {
-    control::Remember(this->Repeats(), BootTimeNow(), told->second, allowance);
+    control::RestoreCounts(this->Repeats(), BootTimeNow(), told->second,
+                           allowance);
     this->remembered.erase(told);
   }
   return allowance;
@@ -49,11 +50,12 @@
   }
 }
 
-std::map<std::string, control::RepeatRoom> EntryCalls::RepeatRooms(Millis now) {
+std::map<std::string, control::RepeatCapacity> EntryCalls::RepeatRooms(
+    Millis now) {
   const control::RepeatRules rules = this->Repeats();
-  std::map<std::string, control::RepeatRoom> rooms;
+  std::map<std::string, control::RepeatCapacity> rooms;
   for (auto& [service, allowance] : this->allowances) {
-    rooms[service] = control::RoomForRepeats(rules, now, allowance);
+    rooms[service] = control::CapacityForRepeats(rules, now, allowance);
   }
   return rooms;
 }
@@ -63,7 +65,7 @@
   std::vector<ServiceRepeats> told;
   for (auto& [service, allowance] : this->allowances) {
     const control::RepeatCounts counts =
-        control::CountsOf(rules, now, allowance);
+        control::WindowCounts(rules, now, allowance);
     if (counts.repeats > 0) {
       told.push_back({ServiceKeyOf(service), counts});
     }
@@ -77,16 +79,16 @@
                                                const std::string& service) {
   const std::uint32_t key = ServiceKeyOf(service);
   control::RepeatCounts sums =
-      control::CountsOf(this->Repeats(), now, this->AllowanceOf(service));
+      control::WindowCounts(this->Repeats(), now, this->AllowanceOf(service));
   for (const PeerPointer& peer : this->peers.All()) {
     if (peer->is_self || !peer->IsReachable()) {
       continue;
     }
     for (const ServiceRepeats& entry : peer->told.repeats) {
       if (entry.service == key) {
-        sums.now += entry.counts.now;
-        sums.half_before += entry.counts.half_before;
-        sums.before += entry.counts.before;
+        sums.requests += entry.counts.requests;
+        sums.requests_half_earlier += entry.counts.requests_half_earlier;
+        sums.requests_previous += entry.counts.requests_previous;
         sums.repeats += entry.counts.repeats;
       }
     }
@@ -106,7 +108,7 @@
   std::uint32_t others = 0;
   for (const PeerPointer& other : this->peers.Of(call.service)) {
     if (other != peer && IsOpen(*other)) {
-      sum += other->health.erring;
+      sum += other->health.error_rate;
       ++others;
     }
   }
@@ -130,17 +132,19 @@
   // A run that makes calls repeats them too, so it takes so much less of the
   // bound that the sum over all services of a chain stays within it.
   control::RepeatRules rules = this->Repeats();
-  rules.used_part /= 1 + this->CallsPerRun(call.service);
+  rules.usable_share /= 1 + this->CallsPerRun(call.service);
   const auto calls =
       this->admission.calls_seen.find({call.service, call.info.root_route});
-  control::RepeatWant want;
+  control::RepeatCandidate want;
   want.priority = call.info.priority;
-  want.calls =
+  want.calls_per_root =
       calls == this->admission.calls_seen.end() ? 1 : calls->second.per_root;
-  want.done = this->served.RanForRun(this->ParentOf(call), call.service);
+  want.answered_calls =
+      this->served.RanForRun(this->ParentOf(call), call.service);
   want.root_hash = call.info.root_hash;
-  const double place = control::RepeatPlace(want);
-  if (!control::HasSharedRoom(rules, this->SharedCounts(now, call.service)) ||
+  const double place = control::RepeatRank(want);
+  if (!control::HasSharedCapacity(rules,
+                                  this->SharedCounts(now, call.service)) ||
       !control::TakeRepeat(rules, place, now,
                            this->AllowanceOf(call.service))) {
     ++this->repeats_denied[call.service];
--- a/libs/relay/src/node_metrics.cc
+++ b/libs/relay/src/node_metrics.cc
@@ -27,7 +27,7 @@
                 static_cast<double>(served.Counters().target_ends));
 }
 
-void WriteRepeats(const std::map<std::string, control::RepeatRoom>& rooms,
+void WriteRepeats(const std::map<std::string, control::RepeatCapacity>& rooms,
                   const std::map<std::string, std::uint64_t>& denied,
                   MetricText& out) {
   out.Begin("repeats_left", "gauge", "Repeats that may still be made now.");
@@ -47,12 +47,12 @@
 }
 
 void WriteBlame(const EntryCalls& entry,
-                const control::BlameTable& table,
+                const control::QuarantineTable& table,
                 MetricText& out) {
-  const control::BlameRules& rules = BlameExchange::Rules();
+  const control::QuarantineRules& rules = BlameExchange::Rules();
   const auto held = std::count_if(
       table.records.begin(), table.records.end(), [&rules](const auto& known) {
-        return control::IsSuspect(rules, known.second);
+        return control::IsQuarantined(rules, known.second);
       });
   out.Begin("blamed_requests", "gauge",
             "Different requests that targets ended under, and those of them "
--- a/libs/relay/src/peer_frames.cc
+++ b/libs/relay/src/peer_frames.cc
@@ -185,10 +185,11 @@
 void Append(const QuotaLoanFrame& frame, std::string& out) {
   Writer writer(FrameType::kQuotaLoan, out);
   writer.Put(frame.account);
-  writer.PutByte(static_cast<std::uint8_t>((frame.is_lender ? 1U : 0U) |
-                                           (frame.loan.is_ample ? 2U : 0U)));
+  writer.PutByte(
+      static_cast<std::uint8_t>((frame.is_lender ? 1U : 0U) |
+                                (frame.loan.is_well_below_limit ? 2U : 0U)));
   writer.PutShort(frame.loan.granted);
-  writer.PutShort(static_cast<std::uint64_t>(frame.loan.next.count));
+  writer.PutShort(static_cast<std::uint64_t>(frame.loan.next_request.count));
   writer.PutShort(static_cast<std::uint64_t>(frame.loan.wait.count));
 }
 
@@ -197,9 +198,9 @@
   in.Take(frame.account);
   const std::uint8_t flags = in.TakeByte();
   frame.is_lender = (flags & 1U) != 0;
-  frame.loan.is_ample = (flags & 2U) != 0;
+  frame.loan.is_well_below_limit = (flags & 2U) != 0;
   frame.loan.granted = in.TakeShortNumber();
-  frame.loan.next = Millis{in.TakeShortNumber()};
+  frame.loan.next_request = Millis{in.TakeShortNumber()};
   frame.loan.wait = Millis{in.TakeShortNumber()};
   return in.IsGood();
 }
--- a/libs/relay/src/peer_policy.cc
+++ b/libs/relay/src/peer_policy.cc
@@ -85,11 +85,12 @@
   }
   const PeerPointer asked = this->policy_asked.lock();
   const bool is_awaited = asked != nullptr && asked->IsReachable() &&
-                          now - this->policy_asked_at < rules.answer_wait;
+                          now - this->policy_asked_at < rules.reply_timeout;
   // The others most likely have the same text, and each question costs all of
   // it.
-  const bool is_unread = this->policy_unread_at != Millis{0} &&
-                         now - this->policy_unread_at < rules.unread_wait;
+  const bool is_unread =
+      this->policy_unread_at != Millis{0} &&
+      now - this->policy_unread_at < rules.unreadable_backoff;
   if (is_awaited || is_unread) {
     return;
   }
@@ -100,7 +101,7 @@
                          !peer->is_suspect && peer->dialect >= kAsksPolicy;
     offer.version = is_open ? peer->told.policy_version : 0;
     offer.is_own_zone = peer->told.zone == this->settings.zone.Value();
-    offer.is_asked = peer->asked_version >= offer.version;
+    offer.is_requested = peer->asked_version >= offer.version;
     offers.push_back(offer);
   }
   const double draw =
@@ -108,7 +109,7 @@
   const std::optional<std::size_t> choice = control::ChooseOffer(
       rules, own, offers, now - this->newer_known_at, draw);
   if (!choice.has_value()) {
-    if (now - this->newer_known_at >= rules.elsewhere_wait) {
+    if (now - this->newer_known_at >= rules.other_zone_delay) {
       // All were asked in vain: from the beginning.
       for (const PeerPointer& peer : this->peers) {
         peer->asked_version = 0;
--- a/libs/relay/src/peer_state_frames.cc
+++ b/libs/relay/src/peer_state_frames.cc
@@ -14,9 +14,9 @@
   writer.PutShort(repeats.size());
   for (const ServiceRepeats& entry : repeats) {
     writer.Put(entry.service);
-    writer.PutShort(entry.counts.now);
-    writer.PutShort(entry.counts.half_before);
-    writer.PutShort(entry.counts.before);
+    writer.PutShort(entry.counts.requests);
+    writer.PutShort(entry.counts.requests_half_earlier);
+    writer.PutShort(entry.counts.requests_previous);
     writer.PutShort(entry.counts.repeats);
   }
 }
@@ -30,9 +30,9 @@
   repeats.resize(in.TakeShortCount());
   for (ServiceRepeats& entry : repeats) {
     in.Take(entry.service);
-    entry.counts.now = in.TakeShortNumber();
-    entry.counts.half_before = in.TakeShortNumber();
-    entry.counts.before = in.TakeShortNumber();
+    entry.counts.requests = in.TakeShortNumber();
+    entry.counts.requests_half_earlier = in.TakeShortNumber();
+    entry.counts.requests_previous = in.TakeShortNumber();
     entry.counts.repeats = in.TakeShortNumber();
   }
 }
--- a/libs/relay/src/peer_table.cc
+++ b/libs/relay/src/peer_table.cc
@@ -280,19 +280,19 @@
   const control::LinkSilence silence{now, heard, peer->pinged,
                                      peer->first_pinged,
                                      peer->outstanding + answers_due};
-  const control::SilenceStep step = peer->is_greeted
-                                        ? control::StepOnSilence(silence)
-                                        : control::SilenceStep::kNothing;
+  const control::SilenceAction step = peer->is_greeted
+                                          ? control::EvaluateSilence(silence)
+                                          : control::SilenceAction::kNothing;
   const bool is_asked = peer->first_pinged > heard;
-  if (step == control::SilenceStep::kAsk ||
-      (step == control::SilenceStep::kSuspect && now < this->patient_until)) {
+  if (step == control::SilenceAction::kPing ||
+      (step == control::SilenceAction::kSuspect && now < this->patient_until)) {
     peer->pinged = now;
     peer->first_pinged = is_asked ? peer->first_pinged : now;
     AppendPing(peer->link->Out());
     peer->link->FlushSoon();
     return;
   }
-  if (step == control::SilenceStep::kSuspect && !peer->is_suspect &&
+  if (step == control::SilenceAction::kSuspect && !peer->is_suspect &&
       this->settings.decisions.has_suspects) {
     peer->is_suspect = true;
     LogEvent(kEventLinkSilent,
--- a/libs/relay/src/quota_exchange.cc
+++ b/libs/relay/src/quota_exchange.cc
@@ -83,14 +83,14 @@
   return now - this->ready_since < kAllSettled;
 }
 
-control::QuotaAnswer QuotaExchange::Take(const policy::ClientAccount& account,
-                                         Millis now) {
+control::QuotaDecision QuotaExchange::Take(const policy::ClientAccount& account,
+                                           Millis now) {
   if (account.limit.per_s <= 0) {
-    return control::QuotaAnswer::kTaken;
+    return control::QuotaDecision::kTaken;
   }
-  control::QuotaPurse& purse = this->purses[account.key.Value()];
-  const control::QuotaAnswer answer = control::TakeQuota(now, purse);
-  if (answer == control::QuotaAnswer::kTaken) {
+  control::QuotaBorrower& purse = this->purses[account.key.Value()];
+  const control::QuotaDecision answer = control::TakeQuota(now, purse);
+  if (answer == control::QuotaDecision::kTaken) {
     // Ahead of need.
     this->Ask(account, 0, now);
   }
@@ -99,8 +99,8 @@
 
 bool QuotaExchange::TakeForWaiting(const policy::ClientAccount& account,
                                    Millis now) {
-  control::QuotaPurse& purse = this->purses[account.key.Value()];
-  return control::TakeFromStock(now, purse) || control::TakeOwn(now, purse);
+  control::QuotaBorrower& purse = this->purses[account.key.Value()];
+  return control::TakeBorrowed(now, purse) || control::TakeFallback(now, purse);
 }
 
 void QuotaExchange::GiveBack(const policy::ClientAccount& account, Millis now) {
@@ -112,8 +112,8 @@
 void QuotaExchange::Ask(const policy::ClientAccount& account,
                         std::uint32_t waiting,
                         Millis now) {
-  control::QuotaPurse& purse = this->purses[account.key.Value()];
-  const std::uint32_t wanted = control::AskFor(now, waiting, purse);
+  control::QuotaBorrower& purse = this->purses[account.key.Value()];
+  const std::uint32_t wanted = control::TokensToRequest(now, waiting, purse);
   if (wanted == 0) {
     return;
   }
@@ -130,8 +130,8 @@
 bool QuotaExchange::IsEmpty(const policy::ClientAccount& account,
                             Millis now) const {
   const auto purse = this->purses.find(account.key.Value());
-  return purse != this->purses.end() && now < purse->second.empty_until &&
-         !control::IsWorthWaiting(purse->second.wait);
+  return purse != this->purses.end() && now < purse->second.exhausted_until &&
+         !control::IsShortWait(purse->second.wait);
 }
 
 bool QuotaExchange::IsSilent(const policy::ClientAccount& account,
@@ -180,7 +180,7 @@
   }
   this->NoteSuspension(now);
   const PeerTable::Reach reach = this->peers.ReachOfNodes(now);
-  const double part = control::LentPart(reach.reached, reach.known);
+  const double part = control::LendableShare(reach.reached, reach.known);
   auto bucket = this->buckets.find(account.Value());
   if (bucket == this->buckets.end()) {
     const Millis since = std::max(this->view_since, this->ready_since);
@@ -209,7 +209,7 @@
   if (purse == this->purses.end() || !frame.is_lender) {
     return;
   }
-  control::TakeLoan(BootTimeNow(), frame.loan, purse->second);
+  control::ApplyLoan(BootTimeNow(), frame.loan, purse->second);
   this->on_tokens(policy::AccountKey(frame.account));
 }
 
--- a/libs/relay/src/relay_node.cc
+++ b/libs/relay/src/relay_node.cc
@@ -142,18 +142,18 @@
     }
     LogEvent(kEventTargetCallFailed,
              {{"request", request_id},
-              {"instance", this->served.Ledger().current.start.id},
+              {"instance", this->served.Ledger().current.incarnation.id},
               {"reason", ToString(reason)},
               {"sent", was_sent ? "yes" : "no"},
               {"after_ms", std::to_string(waited.count)},
               {"running", std::to_string(this->served.Running())},
               {"waiting", std::to_string(this->served.Waiting())}});
   };
-  events.on_target_ended = [this](const control::InstanceStart& start,
+  events.on_target_ended = [this](const control::InstanceIncarnation& start,
                                   std::size_t running) {
     LogEvent(kEventTargetEnded,
              {{"instance", start.id},
-              {"born", std::to_string(start.born)},
+              {"born", std::to_string(start.started_at)},
               {"service", this->served.Ledger().current.service},
               {"running", std::to_string(running)},
               {"waiting", std::to_string(this->served.Waiting())}});
@@ -172,13 +172,13 @@
 
 StateFrame RelayNode::MakeState() {
   StateFrame state;
-  const control::InstanceLedger& ledger = this->served.Ledger();
+  const control::InstanceTracker& ledger = this->served.Ledger();
   state.policy_version = this->PolicyVersion();
   state.is_stopping = this->is_leaving_told;
   state.zone = this->settings.zone.Value();
   state.service = ledger.current.service;
-  state.instance = ledger.current.start.id;
-  state.born = ledger.current.start.born;
+  state.instance = ledger.current.incarnation.id;
+  state.born = ledger.current.incarnation.started_at;
   state.sequence = ledger.current.sequence;
   switch (this->served.IsGone() ? control::InstancePhase::kNone
                                 : ledger.phase) {
@@ -240,11 +240,11 @@
 }
 
 void RelayNode::LogInstance() const {
-  const control::InstanceLedger& ledger = this->served.Ledger();
+  const control::InstanceTracker& ledger = this->served.Ledger();
   LogEvent(
       kEventInstance,
-      {{"instance", ledger.current.start.id},
-       {"born", std::to_string(ledger.current.start.born)},
+      {{"instance", ledger.current.incarnation.id},
+       {"born", std::to_string(ledger.current.incarnation.started_at)},
        {"service", ledger.current.service},
        {"state",
         ledger.phase == control::InstancePhase::kReady ? "ready" : "leaving"},
@@ -278,7 +278,7 @@
   return {};
 }
 
-void RelayNode::OnLeave(const control::InstanceStart& start,
+void RelayNode::OnLeave(const control::InstanceIncarnation& start,
                         std::function<void()> acknowledge) {
   if (this->served.OnLeave(start) == control::ReportEffect::kChanged) {
     this->LogInstance();
@@ -290,7 +290,7 @@
 void RelayNode::AcknowledgeLeave(std::function<void()> acknowledge) {
   PendingAck pending;
   const control::InstanceReport& current = this->served.Ledger().current;
-  pending.report = {current.start.born, current.sequence};
+  pending.report = {current.incarnation.started_at, current.sequence};
   pending.until = BootTimeNow() + kConfirmWait;
   pending.acknowledge = std::move(acknowledge);
   this->pending_acks.push_back(std::move(pending));
@@ -371,7 +371,7 @@
 
 void RelayNode::NoteSlotTime() {
   constexpr double kSeconds = 0.001 * kTick.count() * kPeerTicks;
-  const control::InstanceLedger& ledger = this->served.Ledger();
+  const control::InstanceTracker& ledger = this->served.Ledger();
   if (this->entry.IsShort(ledger.current.service)) {
     this->short_there_s += kSeconds * control::UsableSlots(ledger);
     this->short_used_s += kSeconds * this->served.Running();
--- a/libs/relay/src/served_calls.cc
+++ b/libs/relay/src/served_calls.cc
@@ -63,7 +63,7 @@
   if (this->ledger.phase == control::InstancePhase::kNone || this->is_gone) {
     return CallReason::kNoInstance;
   }
-  if (frame.instance != this->ledger.current.start.id) {
+  if (frame.instance != this->ledger.current.incarnation.id) {
     return CallReason::kOtherInstance;
   }
   if (this->IsPastDrain(now)) {
@@ -193,7 +193,7 @@
     bytes.append(name).append(": ").append(value).append("\r\n");
   };
   put(this->names.time_left, std::to_string(left.count));
-  put(this->names.target_instance, this->ledger.current.start.id);
+  put(this->names.target_instance, this->ledger.current.incarnation.id);
   put(this->names.caller_service, call.caller_service);
   const bool has_body =
       !call.body.empty() || (call.method != "GET" && call.method != "HEAD");
@@ -227,7 +227,7 @@
     ++this->counters.answered;
     const bool is_error =
         head.status >= kServerError && head.status != kDeadlinePassed;
-    control::NoteAnswer(BootTimeNow(), is_error, this->errors);
+    control::UpdateErrorRate(BootTimeNow(), is_error, this->errors);
     if (!is_error) {
       // How quickly a target fails says nothing of its work.
       this->Sample(*call, work);
@@ -356,10 +356,11 @@
 
 control::ReportEffect ServedCalls::OnReport(
     const control::InstanceReport& report) {
-  const control::InstanceStart before = this->ledger.current.start;
+  const control::InstanceIncarnation before = this->ledger.current.incarnation;
   const control::ReportEffect effect =
-      control::TakeReport(BootTimeNow(), report, this->ledger);
-  const control::InstanceStart& current = this->ledger.current.start;
+      control::ApplyReport(BootTimeNow(), report, this->ledger);
+  const control::InstanceIncarnation& current =
+      this->ledger.current.incarnation;
   const bool is_back = this->is_gone &&
                        effect != control::ReportEffect::kIgnored &&
                        effect != control::ReportEffect::kRefused;
@@ -368,7 +369,7 @@
     // Connections to the one before must not carry requests for this one.
     this->pool.CloseIdle();
     control::ForgetWork(this->meter);
-    this->errors = control::ErrorShare();
+    this->errors = control::ErrorRate();
     if (before.id == current.id) {
       this->EndRunsOfEarlierStart();
     }
@@ -377,13 +378,13 @@
 }
 
 control::ReportEffect ServedCalls::OnLeave(
-    const control::InstanceStart& start) {
-  return control::TakeLeave(BootTimeNow(), start, this->ledger);
+    const control::InstanceIncarnation& start) {
+  return control::ApplyLeave(BootTimeNow(), start, this->ledger);
 }
 
 control::ReportEffect ServedCalls::Remember(
-    const control::InstanceStart& start) {
-  return control::RememberLeft(BootTimeNow(), start, this->ledger);
+    const control::InstanceIncarnation& start) {
+  return control::RestoreDeparted(BootTimeNow(), start, this->ledger);
 }
 
 /// Takes the time of a call, unless this host stood still while it ran.
@@ -417,7 +418,7 @@
 }
 
 double ServedCalls::Erring() const {
-  return control::ErrorsNow(BootTimeNow(), this->errors);
+  return control::CurrentErrorRate(BootTimeNow(), this->errors);
 }
 
 std::optional<RunInfo> ServedCalls::FindRun(
--- a/libs/relay/src/served_ends.cc
+++ b/libs/relay/src/served_ends.cc
@@ -54,7 +54,8 @@
     // Told first, so that nothing is sent here for want of better knowledge.
     this->is_gone = true;
     ++this->counters.target_ends;
-    this->events.on_target_ended(this->ledger.current.start, broken.size());
+    this->events.on_target_ended(this->ledger.current.incarnation,
+                                 broken.size());
   }
   for (const CallPointer& call : broken) {
     // Meanwhile it may have been given up, or its time was over.
--- a/libs/relay/tests/peer_frames_test.cc
+++ b/libs/relay/tests/peer_frames_test.cc
@@ -324,9 +324,9 @@
   REQUIRE(read.account == 7);
   REQUIRE(read.is_lender);
   REQUIRE(read.loan.granted == 5);
-  REQUIRE(read.loan.next == Millis{20});
+  REQUIRE(read.loan.next_request == Millis{20});
   REQUIRE(read.loan.wait == Millis{1900});
-  REQUIRE(read.loan.is_ample);
+  REQUIRE(read.loan.is_well_below_limit);
   for (std::size_t size = 0; size < payload.size(); ++size) {
     REQUIRE_FALSE(Decode(payload.substr(0, size), read));
   }
--- a/libs/server/src/answer_reader.cc
+++ b/libs/server/src/answer_reader.cc
@@ -28,7 +28,8 @@
   }
   const bool is_own = std::all_of(
       first, last, [&own](const auto& field) { return field.value() == own; });
-  return is_own ? control::AnswerId::kOwn : control::AnswerId::kOther;
+  return is_own ? control::AnswerId::kMatching
+                : control::AnswerId::kMismatching;
 }
 
 }  // namespace
@@ -84,18 +85,18 @@
     return ReadStep::kNeedMore;
   }
   this->id = IdOf(message, this->expected.id);
-  switch (control::UseOfAnswer(this->expected.trust, this->id)) {
-    case control::AnswerUse::kDeliver:
+  switch (control::ActionForAnswer(this->expected.trust, this->id)) {
+    case control::AnswerAction::kDeliver:
       this->keeps_connection = message.keep_alive() && this->foreign == 0;
       return ReadStep::kDone;
-    case control::AnswerUse::kSkip:
+    case control::AnswerAction::kSkip:
       ++this->foreign;
       if (this->foreign > kMostForeign || !message.keep_alive()) {
         return this->Fail(ErrorKind::kTargetBadAnswer);
       }
       this->StartParser();
       return ReadStep::kNeedMore;
-    case control::AnswerUse::kReject:
+    case control::AnswerAction::kReject:
       break;
   }
   ++this->foreign;
--- a/libs/server/src/answer_reader.h
+++ b/libs/server/src/answer_reader.h
@@ -48,10 +48,10 @@
   /// Whether another request may follow, after kDone, if nothing is left over.
   bool MayFollow() const {
     return this->keeps_connection &&
-           control::MayFollow(this->expected.trust, this->id);
+           control::MayReuseConnection(this->expected.trust, this->id);
   }
   /// Whether the answer came with its request's id, after kDone.
-  bool HasOwnId() const { return this->id == control::AnswerId::kOwn; }
+  bool HasOwnId() const { return this->id == control::AnswerId::kMatching; }
   /// Answers of other requests that were not delivered.
   std::uint32_t Foreign() const { return this->foreign; }
 
--- a/libs/server/src/caller_connection.h
+++ b/libs/server/src/caller_connection.h
@@ -11,7 +11,7 @@
 #include <set>
 #include <utility>
 
-#include "almondlink/control/rate_limit.h"
+#include "almondlink/control/token_bucket.h"
 #include "almondlink/server/caller_server.h"
 #include "beast_http.h"
 
@@ -254,8 +254,8 @@
 
   /// Reads on, after a pause if the caller sends too fast.
   void ReadNext() {
-    if (control::TakeFromRate(this->shared->config.max_rate, MonotonicNow(),
-                              this->rate)) {
+    if (control::TakeToken(this->shared->config.max_rate, MonotonicNow(),
+                           this->rate)) {
       this->ReadHeader();
       return;
     }
@@ -299,7 +299,7 @@
 
   beast::tcp_stream stream;
   asio::steady_timer pause;
-  control::RateLimit rate;
+  control::TokenBucket rate;
   beast::flat_buffer buffer;
   std::optional<Parser> parser;
   const std::size_t loop;
--- a/libs/server/src/target_client.cc
+++ b/libs/server/src/target_client.cc
@@ -250,8 +250,8 @@
     ExpectedAnswer expected;
     expected.id = std::string(exchange->request[kAttemptIdHeader]);
     expected.is_to_head = exchange->request.method() == http::verb::head;
-    expected.trust.is_fresh = exchange->connection->is_fresh;
-    expected.trust.needs_no_id = this->config.needs_no_id;
+    expected.trust.is_first_request = exchange->connection->is_fresh;
+    expected.trust.is_id_optional = this->config.needs_no_id;
     const AnswerLimits limits{this->config.max_header, this->config.max_body};
     exchange->reader.emplace(std::move(expected), limits);
     exchange->connection->is_fresh = false;
--- a/test/fuzz/decoders.cc
+++ b/test/fuzz/decoders.cc
@@ -147,7 +147,7 @@
                            "\r\nContent-Length: 4\r\n\r\nmine";
   server::ExpectedAnswer expected;
   expected.id = own;
-  expected.trust.is_fresh = false;
+  expected.trust.is_first_request = false;
   const auto read = [&](std::size_t piece) {
     server::AnswerReader reader(expected, {4096, 4096});
     boost::beast::flat_buffer input;
@@ -220,10 +220,11 @@
   HandleFailure(
       [&]() -> Result<bool> {
         almondlink::control::RequestDigest digest;
-        almondlink::control::BlameRecord blame;
+        almondlink::control::QuarantineRecord blame;
         BOOST_LEAF_CHECK(
             platform::DecodeGuilty({"ends/1", text}, digest, blame));
-        if (blame.starts.size() > almondlink::control::kMostStartsKept) {
+        if (blame.crashed_incarnations.size() >
+            almondlink::control::kMaxCrashedIncarnations) {
           __builtin_trap();
         }
         return true;
