--- a/libs/control/include/almondlink/control/answer_match.h
+++ b/libs/control/include/almondlink/control/answer_match.h
@@ -1,41 +1,42 @@
 #ifndef ALMONDLINK_CONTROL_ANSWER_MATCH_H_
 #define ALMONDLINK_CONTROL_ANSWER_MATCH_H_
 
-/// Whose answer came on a target's connection.
+/// Matches answers on a target's connection to their requests.
 ///
-/// HTTP/1.1 has nothing that ties an answer to its request but the order on the
-/// connection, and a target that answers twice, late, or more than it states
-/// breaks that order. So each request carries an id of its own, made for this
-/// one send and not to be guessed, which the target returns with the answer. A
-/// connection that has carried nothing before cannot hold another request's
-/// answer; any other one is trusted by the id alone.
+/// HTTP/1.1 ties an answer to its request only by the order on the connection.
+/// A target that answers twice, answers late or sends more than it declares
+/// breaks that order. Therefore each attempt carries an unpredictable id of its
+/// own, which the target returns with the answer. A connection that has carried
+/// no earlier request cannot hold another request's answer; on any other
+/// connection only the id is trusted.
 namespace almondlink::control {
 
-/// The id in an answer, compared with that of the request under way.
+/// The id in an answer, compared with the id of the current request.
 enum class AnswerId { kMissing, kMatching, kMismatching };
 
-/// What becomes of an answer.
+/// What to do with an answer.
 enum class AnswerAction {
   kDeliver,
-  /// It is an earlier request's; the own one may follow.
+  /// Drop it: it belongs to an earlier request, and the current one's may
+  /// follow.
   kSkip,
-  /// Nothing on this connection can be trusted any more.
+  /// Reject it: nothing on this connection can be trusted any more.
   kReject
 };
 
-/// What is known of a connection.
+/// What is known about a connection.
 struct ConnectionTrust {
-  /// The request under way is the first one on it.
+  /// The current request is the first one on the connection.
   bool is_first_request = true;
-  /// The operator vouches for a target that does not return ids.
+  /// The operator has declared that answers without an id can be trusted.
   bool is_id_optional = false;
 };
 
-/// What to do with a whole answer.
+/// Decides what to do with a complete answer.
 AnswerAction ActionForAnswer(const ConnectionTrust& trust, AnswerId id);
 
-/// Whether another request may follow on the connection after an answer that
-/// was delivered.
+/// Whether the connection may carry another request after an answer that was
+/// delivered.
 bool MayReuseConnection(const ConnectionTrust& trust, AnswerId id);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/error_rate.h
+++ b/libs/control/include/almondlink/control/error_rate.h
@@ -3,35 +3,37 @@
 
 #include "almondlink/base/clock.h"
 
-/// What part of a target's answers are failures of its own.
+/// Error rate of a target: the share of its answers that are its own failures.
 ///
-/// A target that fails at once looks free and fast, so it draws the load of its
-/// whole service: where one of eight did, a third of all calls went to it. The
-/// node beside the target sees all of its answers, so it knows within a few of
-/// them, and tells all others; each compares it with the service's other
-/// targets. A failure of a service further down makes all of them err alike,
-/// and then none stands out.
+/// A target that fails immediately looks idle and fast, so it attracts the load
+/// of its whole service: one failing target out of eight received a third of
+/// all calls. The node beside the target sees all of its answers, detects the
+/// failures within a few of them and reports the rate to all other nodes. Each
+/// node compares it with the other targets of the service. A failure of a
+/// downstream service raises the rate of all targets alike, and then none
+/// stands out.
 ///
-/// A target that errs gets next to nothing, so after a while without an answer
-/// it is believed less: the next few requests show whether it is sound. One
-/// more failure brings the belief back at once.
+/// A target with a high error rate gets almost no requests, so its rate decays
+/// while no answers arrive: the next few requests then show whether it has
+/// recovered. One more failure restores the full rate at once.
 namespace almondlink::control {
 
 /// Plain data; one thread at a time.
 struct ErrorRate {
-  /// Part of the last few dozen answers, at the time of the last.
+  /// Moving average over the last few dozen answers, as of the last answer.
   double rate = 0;
   Millis last_answer;
 };
 
+/// Records one answer of the target.
 void UpdateErrorRate(Millis now, bool is_error, ErrorRate& errors);
 
-/// The part that is believed now, 0 to 1.
+/// The error rate after the decay since the last answer, 0 to 1.
 double CurrentErrorRate(Millis now, const ErrorRate& errors);
 
-/// How much of a target's errors stands out from those of its service's other
-/// targets, 0 to 1; `others`: their mean. Single failures of an application do
-/// not.
+/// How far the error rate of a target exceeds the mean rate of the other
+/// targets of its service (`others`), 0 to 1. Occasional application errors
+/// give 0.
 double ExcessErrorRate(double rate, double others);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/idempotency_key.h
+++ b/libs/control/include/almondlink/control/idempotency_key.h
@@ -8,44 +8,46 @@
 #include "almondlink/base/error.h"
 #include "almondlink/base/ids.h"
 
-/// Keys of at-most-once calls.
+/// Idempotency keys of at-most-once calls.
 ///
-/// A claim is a log record, and the log forgets. A key must therefore tell when
-/// it was made, so that one older than the claims that are still kept is
-/// refused instead of run again. A caller's key is a UUID version 7 (RFC 9562),
-/// which starts with its time. A node's own key is `m1.<node>.<incarnation>.
-/// <sequence>.<made>.<mac>` and is known only to that incarnation.
+/// Claims are records of a log with limited retention. A key therefore carries
+/// its creation time, so that a key older than the retained claims is refused
+/// instead of run again. A caller's key is a UUID version 7 (RFC 9562), which
+/// starts with its time. A node's own key is
+/// `m1.<node>.<incarnation>.<sequence>.<created_at>.<mac>` and is known only to
+/// the incarnation that minted it.
 namespace almondlink::control {
 
-/// Tolerated difference between the clocks of callers and nodes.
+/// Maximum difference between the clocks of callers and nodes.
 constexpr Millis kMaxClockSkew{30'000};
 
-/// A key that a node minted.
+/// A key minted by a node.
 struct MintedKey {
   NodeId node;
   Incarnation incarnation{0};
   std::uint64_t sequence = 0;
   Millis created_at;
-  /// HMAC over everything before it, hexadecimal.
+  /// HMAC over all preceding parts, in hexadecimal.
   std::string mac;
 };
 
-/// The part that the HMAC covers.
+/// The part of the key that the HMAC covers.
 std::string MintedKeyBody(const MintedKey& key);
 
-/// Whole text of a minted key.
+/// The complete text of a minted key.
 std::string MintedKeyText(const MintedKey& key);
 
-/// Parses a minted key; nothing if the text is not of that form.
+/// Parses a minted key; nothing if the text does not have that form.
 std::optional<MintedKey> ParseMintedKey(const std::string& text);
 
-/// Time in a UUID version 7; nothing if the text is not one.
+/// Creation time of a UUID version 7; nothing if the text is not one.
 std::optional<Millis> TimeOfUuid7(const std::string& text);
 
-/// Text of a UUID version 7 made at `made` with the given random bits.
+/// Text of a UUID version 7 for the creation time and the given random bits.
 std::string MakeUuid7(Millis created_at, std::uint64_t high, std::uint64_t low);
 
-/// kNone if a key made at `made` may be used at `now`, else kKeyExpired.
+/// Returns kNone if a key created at `created_at` may be used at `now`,
+/// otherwise kKeyExpired. All times are wall-clock times.
 ErrorKind CheckKeyAge(Millis created_at, Millis now, Millis lifetime);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/instance_tracker.h
+++ b/libs/control/include/almondlink/control/instance_tracker.h
@@ -8,27 +8,28 @@
 
 #include "almondlink/base/clock.h"
 
-/// Which instance runs beside a node, and whether it takes new work.
+/// Tracks which instance runs beside a node and whether it accepts work.
 ///
-/// The instance reports itself to the node beside it. Reports can be late: one
-/// of an instance that has ended can arrive when its successor has reported
-/// already. A start of an instance that was once known to leave stays leaving
-/// for good, whatever a late report says; peers remember that for a node that
-/// restarts.
+/// The instance reports itself to the node beside it. Reports can be late: a
+/// report of an instance that has ended can arrive after its successor's first
+/// report. An incarnation that was once known to be leaving stays leaving,
+/// whatever a late report says; peers keep that fact for a node that restarts.
 ///
-/// An instance may start again under its id. The time of its start tells the
-/// starts apart: a later one begins with nothing of before, and what an earlier
-/// one still says changes nothing. Clocks can go back between two starts, so
-/// that the living one seems the earlier: it is believed once it has gone on
-/// reporting while nothing came from the other.
+/// An instance may restart under the same id. Its start time tells the
+/// incarnations apart: a later one starts without any state of an earlier one,
+/// and reports of an earlier one have no effect. If the clock is set back
+/// between two starts, the running incarnation seems to be the earlier one. It
+/// is accepted once it has kept reporting for a while in which the other one
+/// was silent.
 namespace almondlink::control {
 
+/// State of the instance beside the node; kNone: none has reported.
 enum class InstancePhase { kNone, kReady, kLeaving };
 
-/// One start of an instance.
+/// One incarnation of an instance.
 struct InstanceIncarnation {
   std::string id;
-  /// Wall-clock time of the start in milliseconds; 0 if it was not told.
+  /// Wall-clock start time in milliseconds; 0 if it was not reported.
   std::uint64_t started_at = 0;
 };
 
@@ -45,77 +46,82 @@
   return a.id != b.id ? a.id < b.id : a.started_at < b.started_at;
 }
 
-/// What an instance says of itself.
+/// What an instance reports about itself.
 struct InstanceReport {
   InstanceIncarnation incarnation;
   std::string service;
   std::uint32_t capacity = 0;
   bool is_leaving = false;
-  /// Time for which it will still be slow after its start.
+  /// Remaining time in which the instance is slow after its start.
   Millis warmup_left;
-  /// Grows with every report of one start.
+  /// Increases with every report of one incarnation.
   std::uint64_t sequence = 0;
 };
 
-/// Reports of a start that seems earlier than the current one.
+/// An incarnation whose start time is earlier than the current one's, but which
+/// may be the running one because the clock was set back.
 struct SkewCandidate {
   InstanceIncarnation incarnation;
-  /// When the first of its reports came since the current start was last heard.
+  /// When its first report arrived since the last report of the current
+  /// incarnation.
   Millis first_report;
   std::uint64_t last_sequence = 0;
 };
 
-/// State of one node's ledger. Plain data; one thread at a time.
+/// State of one node. Plain data; one thread at a time.
 struct InstanceTracker {
   InstancePhase phase = InstancePhase::kNone;
   InstanceReport current;
-  /// Number of the first report of it that came here.
+  /// Sequence number of the current incarnation's first report to this node.
   std::uint64_t first_sequence = 0;
-  /// When the current instance was first known to leave.
+  /// When the current instance was first known to be leaving.
   Millis leaving_since;
   Millis last_report;
-  /// Highest sequence seen of starts that are not the current one.
+  /// Highest sequence number of incarnations that were replaced.
   std::map<InstanceIncarnation, std::uint64_t> superseded;
-  /// Starts that are known to leave or to be gone.
+  /// Incarnations that are known to be leaving or gone.
   std::set<InstanceIncarnation> departed;
   SkewCandidate skew_candidate;
-  /// Part of the announced slots that is used. Targets slow down when nearly
-  /// full (a third slower above 95 % where it was seen), and a new connection
-  /// may hold a slot for a moment.
+  /// Share of the reported capacity that is used. Targets slow down when nearly
+  /// full (by a third above 95 %), and a new connection may hold a slot
+  /// briefly.
   double usable_share = 0.94;
 };
 
+/// What a report changed.
 enum class ReportEffect {
   kIgnored,
   kRefreshed,
   kChanged,
-  /// The report contradicts what a start cannot change; nothing was taken.
+  /// The report contradicts a property that is fixed for an incarnation; it was
+  /// discarded.
   kRefused,
 };
 
-/// Takes one report. One without the time of its start counts as of the start
-/// that is current under its id.
+/// Applies one report. A report without a start time counts for the current
+/// incarnation of its id.
 ReportEffect ApplyReport(Millis now,
                          const InstanceReport& report,
                          InstanceTracker& tracker);
 
-/// The instance says that it leaves, without a report. Without the time of its
-/// start it means the start that is current under its id.
+/// The instance announced, outside a report, that it is leaving. Without a
+/// start time the current incarnation of its id is meant.
 ReportEffect ApplyLeave(Millis now,
                         const InstanceIncarnation& incarnation,
                         InstanceTracker& tracker);
 
-/// A peer remembers that this start was leaving.
+/// A peer reported that this incarnation was leaving.
 ReportEffect RestoreDeparted(Millis now,
                              const InstanceIncarnation& incarnation,
                              InstanceTracker& tracker);
 
 /// Whether the current instance may have run requests before this node started:
-/// none has reported yet, or one that had reported to somebody before.
+/// no instance has reported yet, or the current one had sent reports before its
+/// first one here.
 bool MayBeOlderThanNode(const InstanceTracker& tracker);
 
-/// Slots of the current instance that may be in use: a little below what it
-/// announces, since its last ones slow all others down.
+/// Slots of the current instance that may be used: slightly fewer than it
+/// reports, since a target slows down when it is nearly full.
 std::uint32_t UsableSlots(const InstanceTracker& tracker);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/key_table.h
+++ b/libs/control/include/almondlink/control/key_table.h
@@ -10,27 +10,32 @@
 #include "almondlink/base/clock.h"
 #include "almondlink/wire/messages.generated.h"
 
-/// What became of the keys at this incarnation of a target's node.
+/// State of idempotency keys at this incarnation of a target's node.
 ///
-///   kClaiming -> kHeld -> kDispatched -> kDone
-///        |          ^ |
-///        |          | +-- refused before dispatch: stays held, may be asked
-///        v          |     again at this node, and only here
-///     kLost      (minted keys start held)
+///   kClaiming -> kOwned -> kDispatched -> kDone or kUnknown
+///       |          ^            |
+///       v          +------------+
+///    removed      refused before dispatch
+///  (claim lost)
 ///
-/// The step to kDispatched is taken at most once for a key.
+/// A key that was refused before dispatch stays owned: it may be called again,
+/// but only at this node.
+///
+/// Keys that this node minted start as kOwned. The step to kDispatched is taken
+/// at most once per key.
 namespace almondlink::control {
 
+/// State of one key, see above.
 enum class KeyState {
   /// A claim is being appended.
   kClaiming,
-  /// This incarnation alone may run the key, and has not.
+  /// Only this incarnation may run the key, and it has not done so.
   kOwned,
-  /// It was handed to the target.
+  /// The request was handed to the target.
   kDispatched,
   /// The target answered; the answer is kept unless it was too large.
   kDone,
-  /// The outcome is not known and will not be.
+  /// The outcome is unknown and stays so.
   kUnknown,
 };
 
@@ -41,13 +46,13 @@
   bool has_answer = false;
   wire::Answer answer;
   std::size_t answer_bytes = 0;
-  /// The call that is on its way to the target; 0 for none.
+  /// The call that is on its way to the target; 0 if none.
   std::uint64_t running_call = 0;
   /// Calls that wait for the outcome of the first one.
   std::vector<std::uint64_t> waiting_calls;
 };
 
-/// Limits on memory.
+/// Memory limits.
 struct KeyTableLimits {
   std::size_t max_entries = 100'000;
   std::size_t max_answer_bytes = 16 * 1024 * 1024;
@@ -64,31 +69,33 @@
 /// The entry of a key, or null. Valid until the next change.
 KeyEntry* FindKey(const std::string& key, KeyTable& table);
 
-/// Adds a key in that state. Null if the table is full: refuse as not run.
+/// Adds a key in the given state. Returns null if the table is full; the call
+/// must then be refused as not run.
 KeyEntry* AddKey(const KeyTableLimits& limits,
                  Millis now,
                  const std::string& key,
                  KeyState state,
                  KeyTable& table);
 
-/// Takes the one step to kDispatched; false if it was taken before or the key
-/// is not held.
+/// Takes the single step to kDispatched. Returns false if it was taken before
+/// or the key is not owned.
 bool BeginDispatch(KeyEntry& entry);
 
-/// Takes the step back after it is certain that no byte reached the target, or
-/// that the target refused to run it.
+/// Reverts the step once it is certain that no byte reached the target or that
+/// the target refused to run the request.
 void RevertDispatch(KeyEntry& entry);
 
-/// Records the answer. One that is too large leaves kDone without an answer.
+/// Stores the answer. One that is too large leaves kDone without an answer.
 void RecordAnswer(const KeyTableLimits& limits,
                   const wire::Answer& answer,
                   KeyEntry& entry,
                   KeyTable& table);
 
-/// Removes a key that was never claimed, so that it can be tried again.
+/// Removes a key that this node failed to claim, so that it can be tried again.
 void RemoveKey(const std::string& key, KeyTable& table);
 
-/// Forgets keys added longer than `age` ago, when nobody waits on them.
+/// Removes keys that were added longer than `age` ago and that no call waits
+/// for.
 void ExpireKeys(Millis now, Millis age, KeyTable& table);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/link_silence.h
+++ b/libs/control/include/almondlink/control/link_silence.h
@@ -5,22 +5,23 @@
 
 #include "almondlink/base/clock.h"
 
-/// When a node that says nothing on an open link is suspect.
+/// Failure detection for a peer that is silent on an open link.
 ///
-/// An idle node tells its state once a second, so silence alone says little: a
-/// link may have been silent for most of a second when the first call goes out.
-/// The node is asked first, and only a question that stays without any word for
-/// a while makes it suspect.
+/// An idle node reports its state once a second, so silence alone proves
+/// little: a link may have been silent for most of a second when the first call
+/// is sent. The peer is pinged first, and becomes suspect only if nothing
+/// arrives for a while after the ping.
 namespace almondlink::control {
 
-/// What one end knows of a link.
+/// What one end knows about a link.
 struct LinkSilence {
   Millis now;
-  /// When anything came from the other end last.
+  /// When anything last arrived from the peer.
   Millis last_received;
-  /// When the other end was asked last; any time before `heard` if never since.
+  /// When the peer was last pinged; any time before `last_received` if not
+  /// since then.
   Millis last_ping;
-  /// When it was asked first of the questions that nothing came after.
+  /// When the first ping was sent that nothing has arrived after.
   Millis first_unanswered_ping;
   /// Calls that wait for an answer on the link.
   std::uint32_t waiting_calls = 0;
@@ -28,13 +29,13 @@
 
 enum class SilenceAction {
   kNothing,
-  /// Ask for a sign of life.
+  /// Send a ping.
   kPing,
-  /// It may stand still, or the way is cut.
+  /// The peer may hang, or the connection is cut.
   kSuspect,
 };
 
-/// What to do now. Pure.
+/// Decides what to do now. Pure.
 SilenceAction EvaluateSilence(const LinkSilence& link);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/membership.h
+++ b/libs/control/include/almondlink/control/membership.h
@@ -11,14 +11,15 @@
 #include "almondlink/base/ids.h"
 #include "almondlink/wire/messages.generated.h"
 
-/// Membership after SWIM (Das, Gupta, Motivala 2002) as functions over a table.
+/// Group membership based on SWIM (Das, Gupta, Motivala 2002), as functions
+/// over a table.
 ///
-/// What is said of a node is ordered by (incarnation, version, state), where
-/// alive < suspect < failed < left. Only the node itself raises its version or
-/// incarnation; others may only raise the state of what it announced last. So
-/// whatever order messages come in, all tables end at the same content, and a
-/// node that hears itself suspected refutes it with a higher version. An old
-/// incarnation can never replace a newer one.
+/// Updates about a node are ordered by (incarnation, version, state), where
+/// alive < suspect < failed < left. Only the node itself increases its
+/// incarnation and version; others may only raise the state that it last
+/// announced. Tables therefore converge to the same content in whatever order
+/// messages arrive, and a node that learns that it is suspected refutes that
+/// with a higher version. An old incarnation never replaces a newer one.
 namespace almondlink::control {
 
 enum class MemberState : std::uint32_t {
@@ -28,30 +29,30 @@
   kLeft = 3,
 };
 
-/// Constants of the protocol.
+/// Parameters of the protocol.
 struct MembershipRules {
   Millis suspect_timeout{3000};
-  /// How long a failed or left member is remembered, so that old news of it
-  /// does not bring it back.
+  /// Retention of a failed or left member, so that stale updates do not bring
+  /// it back.
   Millis tombstone{10 * 60 * 1000};
-  /// Updates in one datagram.
+  /// Updates per datagram.
   std::size_t updates_per_message = 6;
-  /// Times an update is passed on, per binary digit of the group's size.
+  /// Transmissions of an update, per binary digit of the group size.
   std::uint32_t retransmit_factor = 3;
-  /// Most members that are kept.
+  /// Maximum number of members in the table.
   std::size_t max_members = 20'000;
 };
 
 /// One member as this node knows it.
 struct MemberEntry {
   wire::Member member;
-  /// When the state changed here.
+  /// When the entry last changed at this node.
   Millis changed_at;
-  /// Times the update was passed on.
+  /// How often the update has been sent.
   std::uint32_t transmissions = 0;
 };
 
-/// All members, this node included. Plain data; one thread at a time.
+/// All members, including this node. Plain data; one thread at a time.
 struct Membership {
   NodeId self;
   std::map<std::string, MemberEntry> members;
@@ -60,14 +61,14 @@
   std::size_t probe_next = 0;
 };
 
-/// What a merge did.
+/// Result of a merge.
 struct MergeResult {
   bool is_changed = false;
-  /// This node refuted news of itself; its own entry is to be passed on.
+  /// This node refuted an update about itself; its own entry must be sent on.
   bool is_refuted = false;
 };
 
-/// Starts a table that holds only this node.
+/// Initializes a table that contains only this node.
 void StartMembership(const wire::Member& self,
                      Millis now,
                      Membership& membership);
@@ -80,17 +81,18 @@
                   Millis now,
                   Membership& membership);
 
-/// Merges news of one node.
+/// Merges an update about one node.
 MergeResult MergeMember(const MembershipRules& rules,
                         const wire::Member& update,
                         Millis now,
                         Membership& membership);
 
-/// Marks a member suspect after a probe went unanswered. True if changed.
+/// Marks a member suspect after an unanswered probe. Returns true if its state
+/// changed.
 bool SuspectMember(const std::string& node, Millis now, Membership& membership);
 
-/// Suspects that did not refute in time fail; old tombstones go. Returns the
-/// nodes that failed now.
+/// Fails the suspects that did not refute in time and removes expired
+/// tombstones. Returns the nodes that failed in this call.
 std::vector<std::string> ExpireMembers(const MembershipRules& rules,
                                        Millis now,
                                        Membership& membership);
@@ -99,23 +101,26 @@
 /// `draw` is uniform in [0, 1).
 std::optional<wire::Member> NextProbe(double draw, Membership& membership);
 
-/// A member held failed, to be asked whether it really is: after a partition
-/// both sides hold the other failed, and only a message across ends that.
+/// A random member that is considered failed, to be probed anyway: after a
+/// partition both sides consider the other failed, and only a message across
+/// ends that. `draw` is uniform in [0, 1).
 std::optional<wire::Member> PickFailed(double draw,
                                        const Membership& membership);
 
-/// Up to `count` living members other than this node and `except`.
+/// Up to `count` alive members for an indirect probe, without this node and
+/// `except`. `draw` is uniform in [0, 1).
 std::vector<wire::Member> PickHelpers(const std::string& except,
                                       std::size_t count,
                                       double draw,
                                       const Membership& membership);
 
-/// The updates to put on the next message: the least passed on, each at most
-/// spread_factor * log2(members + 1) times.
+/// The updates to send with the next message, those with the fewest
+/// transmissions first. Each update is sent at most retransmit_factor *
+/// ceil(log2(members + 1)) times.
 std::vector<wire::Member> PickUpdates(const MembershipRules& rules,
                                       Membership& membership);
 
-/// Living members (alive or suspect).
+/// Number of living members (alive or suspect), including this node.
 std::size_t LivingCount(const Membership& membership);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/quarantine.h
+++ b/libs/control/include/almondlink/control/quarantine.h
@@ -9,75 +9,84 @@
 #include "almondlink/base/clock.h"
 #include "almondlink/control/request_digest.h"
 
-/// Which requests were under way when targets ended, and what may be done with
-/// them.
+/// Detects queries of death: requests that crash the targets that run them, and
+/// quarantines them.
 ///
-/// A target that ends takes all requests with it that it was running, and at
-/// most one of them did it. What tells them apart is repetition over different
-/// starts of targets, without any run that ended whole. So what is kept of a
-/// request is the starts that ended under it; nothing is kept of requests that
-/// no target ended under, and nothing is computed for them.
+/// A target that crashes takes down every request that it was running, and at
+/// most one of them caused the crash. Which one shows only by repetition: the
+/// cause is running again when other incarnations of targets crash, and it
+/// never completes. So a record holds the incarnations that crashed while the
+/// request was running. Requests that were running in no crash have no record
+/// and cost no computation.
 ///
-/// After one end a request goes on as any other: most ends are nobody's fault,
-/// and all that ran there is served elsewhere. After a second it runs only as a
-/// *trial*: one at a time in the whole deployment, at a target where no other
-/// trial runs (almondlink/control/trial_registry.h). A whole run clears it, and
-/// with it everybody who sends the same; the innocent that share two ends with
-/// the guilty one are told apart by that within one run. A target that ends
-/// under a trial proves the request guilty: nothing else that ran there is held
-/// as well. It is then refused, and tried once more after a pause, for its
-/// targets may have been mended.
+/// After one crash a request runs as any other: most crashes are not caused by
+/// a request, and everything that was running is served by other targets. After
+/// a second crash it runs only as a *trial*: one at a time in the whole
+/// deployment, at a target that runs no other trial
+/// (almondlink/control/trial_registry.h). A completed run clears the record for
+/// every sender of the same request, so a request that merely shared two
+/// crashes with the cause is released by its first trial. A target that crashes
+/// during a trial incriminates only the request on trial. That request is
+/// refused, and tried once more after a pause because the targets may have been
+/// repaired.
 ///
-/// All nodes keep the same records by telling each other of ends and of whole
-/// runs. Only ends that are certain count: the process is gone, though it had
-/// not said that it leaves. While a request's whole runs are fresh no end is
-/// laid to it: a popular one runs wherever something ends, and what ends
-/// targets has no whole runs.
+/// All nodes hold the same records because they report crashes and completed
+/// runs to each other. Only certain crashes count: the process is gone and had
+/// not announced that it was leaving. While a request has a recent completed
+/// run, no crash is attributed to it: a popular request is running in nearly
+/// every crash, whereas a query of death never completes.
 namespace almondlink::control {
 
-/// Starts of targets remembered for one request: as many as decisions tell
-/// apart, and some for those that end before the news of it.
+/// Incarnations of crashed targets that are kept for one request: more than the
+/// decisions need, because further targets may crash before the reports of the
+/// first crashes arrive.
 constexpr std::size_t kMaxCrashedIncarnations = 8;
 
-/// What is known of one request.
+/// The crash history of one request.
 struct QuarantineRecord {
-  /// Hashes of the starts of targets that ended under it, each once; the first
-  /// few of them.
+  /// Hashes of the distinct incarnations of targets that crashed while the
+  /// request was running; the most recently added ones.
   std::vector<std::uint64_t> crashed_incarnations;
-  /// Those that ended while it was on trial.
+  /// Crashes during a trial of the request.
   std::uint32_t failed_trials = 0;
+  /// When the first crash was attributed to it.
   Millis first_crash;
-  /// The last end that it was under way at, laid to it or not.
+  /// The last crash during which it was running, whether or not that crash was
+  /// attributed to it.
   Millis last_crash;
-  /// When a target last lived through a run of it; 0: none did.
+  /// When a run of it last completed; 0 if none has.
   Millis completed_at;
 };
 
+/// Thresholds and retention times.
 struct QuarantineRules {
-  /// Most requests that are remembered.
+  /// Maximum number of requests with a record.
   std::size_t max_records = 1024;
-  /// A request under which one target ended is forgotten after this time, one
-  /// with more ends after as much more.
+  /// A record with one crash expires after this time; each further crash adds
+  /// as much again.
   Millis retention{600'000};
-  /// Starts that ended under a request, from which on it runs on trial only.
-  /// One end is mostly nobody's fault; each further one costs all that ran
-  /// there.
+  /// Number of crashed incarnations from which on the request runs only as a
+  /// trial. A single crash is rarely caused by a request, and each further one
+  /// loses everything that runs on the target.
   std::size_t crashes_until_trial = 2;
-  /// Time from a trial that ended its target to the next one.
+  /// Pause between a trial that crashed its target and the next trial.
   Millis trial_pause{60'000};
-  /// Trials that may end their target; then the request is refused until it is
-  /// forgotten or lifted. Two leave room for one send that the news has not
-  /// reached, where three in all are allowed.
+  /// Failed trials after which the request is a confirmed query of death and is
+  /// refused until its record expires or an operator lifts the quarantine. With
+  /// a limit of three crashes in all, two leaves a margin for one request that
+  /// is sent before the report arrives.
   std::uint32_t max_failed_trials = 2;
-  /// How long such a request is remembered.
+  /// Retention of the record of a confirmed query of death.
   Millis confirmed_retention{86'400'000};
-  /// How long a whole run speaks for a request: longer than a service takes to
-  /// lose its targets one after the other.
+  /// How long a completed run keeps crashes from being attributed to the
+  /// request: longer than it takes a service to lose its targets one after the
+  /// other.
   Millis completed_run_validity{5000};
-  /// A whole run is told again after this.
+  /// Minimum time between two reports of completed runs of the same request.
   Millis completed_run_interval{1000};
-  /// What speaks for a request is of use while targets end; so long after the
-  /// last one it is forgotten, and digests of that path are needed no more.
+  /// A record without attributed crashes only matters while targets crash. It
+  /// expires this long after the last crash, and requests for its path need no
+  /// digest any more.
   Millis cleared_retention{10'000};
 };
 
@@ -86,71 +95,74 @@
   std::map<RequestDigest, QuarantineRecord> records;
 };
 
-/// A start of a target ended.
+/// The crash of one incarnation of a target.
 struct TargetCrash {
-  /// Hash of the start.
+  /// Hash of the incarnation.
   std::uint64_t incarnation = 0;
-  /// The request was on trial there.
+  /// The request was running as a trial.
   bool is_on_trial = false;
 };
 
-/// What may be done with a request.
+/// How a node may run a request.
 enum class QuarantineAction {
-  /// As with any other.
+  /// Without restriction.
   kAllow,
-  /// It may run on trial.
+  /// Only as a trial.
   kTrial,
   /// Not now.
   kRefuse,
 };
 
+/// What a node does with a request now.
 struct QuarantineDecision {
   QuarantineAction action = QuarantineAction::kAllow;
-  /// Until it may be tried again.
+  /// For kRefuse: time until the next trial is possible.
   Millis wait;
 };
 
-/// The request was under way where a target ended. True if that start is new to
-/// its record. Where the table is full the record with the fewest ends, of
-/// these the oldest, makes room.
+/// Records that a target crashed while the request was running. Returns true if
+/// the crash is attributed to the request and its incarnation is new to the
+/// record. If the table is full, the record with the fewest failed trials is
+/// evicted, then the one with the fewest crashes, then the oldest.
 bool RecordTargetCrash(const QuarantineRules& rules,
                        Millis now,
                        const RequestDigest& digest,
                        const TargetCrash& end,
                        QuarantineTable& table);
 
-/// A target lived through a run of the request: what was known of it is
-/// forgotten. True if others should be told.
+/// Records a completed run, which clears the crash history of the request.
+/// Returns true if the completion should be reported to the other nodes.
 bool RecordCompletedRun(const QuarantineRules& rules,
                         Millis now,
                         const RequestDigest& digest,
                         QuarantineTable& table);
 
-/// Takes what another node knows of the request.
+/// Merges the record that another node reported for the request.
 void MergeQuarantine(const QuarantineRules& rules,
                      Millis now,
                      const RequestDigest& digest,
                      const QuarantineRecord& reported,
                      QuarantineTable& table);
 
+/// Decides how the request may run now.
 QuarantineDecision DecideQuarantine(const QuarantineRules& rules,
                                     Millis now,
                                     const RequestDigest& digest,
                                     const QuarantineTable& table);
 
-/// Forgets what is too old; call every now and then.
+/// Removes expired records; call periodically.
 void ExpireQuarantine(const QuarantineRules& rules,
                       Millis now,
                       QuarantineTable& table);
 
-/// What is known of the request; null if nothing is.
+/// The record of the request; null if there is none.
 const QuarantineRecord* FindQuarantine(const RequestDigest& digest,
                                        const QuarantineTable& table);
 
-/// Whether anything is known of a request with this path.
+/// Whether any request with this path has a record.
 bool HasRecordForPath(std::uint64_t path, const QuarantineTable& table);
 
-/// Whether the request is held to trials, or refused.
+/// Whether the record restricts the request to trials, or refuses it.
 bool IsQuarantined(const QuarantineRules& rules,
                    const QuarantineRecord& record);
 
--- a/libs/control/include/almondlink/control/quota_lending.h
+++ b/libs/control/include/almondlink/control/quota_lending.h
@@ -7,83 +7,87 @@
 #include "almondlink/control/demand_meter.h"
 #include "almondlink/control/token_bucket.h"
 
-/// One limit of a client account, kept over all nodes together.
+/// Enforces one limit of a client account over all nodes.
 ///
-/// For each account one node, its *lender*, holds the one token bucket; all
-/// nodes agree on who it is by a hash of the account and the names of the nodes
-/// that they reach. Other nodes, the *borrowers*, ask it for tokens: for
-/// requests that wait for one, and a tenth of a second ahead where requests
-/// come often. So what all nodes let in follows one bucket, however demand is
-/// spread and whenever it moves, and nothing is let in that was not lent
-/// before.
+/// For each account one node, its *lender*, holds the only token bucket. All
+/// nodes determine it alike from a hash of the account and the names of the
+/// nodes that they reach. The other nodes, the *borrowers*, request tokens from
+/// it: for requests that wait for one, and a tenth of a second in advance where
+/// requests arrive often. The nodes together thus admit what a single bucket
+/// allows, wherever the demand arises and whenever it moves, and every admitted
+/// request has a token that was lent before.
 ///
-/// What keeps the sum within the limit when nodes do not see each other:
+/// The sum stays within the limit when nodes lose contact with each other,
+/// because:
 ///
-/// - A lender lends only the part of the limit that the nodes it reaches have
-///   of those that it knows of, so two sides of a cut together lend no more
-///   than the whole.
-/// - The bucket of a node that becomes lender starts next to empty: what the
-///   one before had left is lost, never there twice. The same holds after a
-///   restart of all nodes and for a host that stood still.
-/// - A borrower whose lender is silent goes on by what it was lent per second
-///   until the silence is decided: in sum that is no more than the limit. Where
-///   the account was well below its limit, by what it was asked for, and one
-///   request besides: what the silent lender had left covers it.
+/// - A lender lends only the share of the limit that corresponds to the nodes
+///   it reaches out of those it knows, so the two sides of a partition together
+///   do not exceed the limit.
+/// - The bucket of a new lender starts almost empty: what the previous lender
+///   had left is lost rather than available twice. The same holds after a
+///   restart of all nodes and for a host that was suspended.
+/// - A borrower whose lender is silent continues at the rate at which it was
+///   lent tokens, until the silence is resolved; in sum that stays within the
+///   limit. If the account was well below its limit, the borrower continues at
+///   the rate of its demand, plus one request, which the tokens left at the
+///   silent lender cover.
 ///
-/// Compared with two ways in which nodes share a limit without a lender
-/// (quota_parts.h): see docs/design/accounts.md.
+/// docs/design/accounts.md compares this with two ways of sharing a limit
+/// without a lender.
 namespace almondlink::control {
 
-/// Bound on an account in any window, as operators count it:
-/// (per_s * window + burst) * (1 + over) + slack.
+/// Upper bound for an account in any window, as operators count it: (per_s *
+/// window + burst) * (1 + over) + slack.
 struct QuotaRules {
   Millis window{5000};
   double over = 0.1;
   double slack = 20;
 };
 
+/// A limit of one account: sustained rate and burst.
 struct QuotaLimit {
   double per_s = 0;
   double burst = 0;
 };
 
-// ---- the lender's side ----
+// ---- Lender ----
 
 /// The bucket of one account at its lender. Plain data; one thread at a time.
 struct QuotaBucket {
   TokenBucket bucket;
-  /// Requests turned away for want of tokens, faded out over a second: they
-  /// come back, so the next caller has to wait for them as well.
+  /// Requests refused for lack of tokens, decaying over a second. They will be
+  /// retried, so the next caller has to wait for them as well.
   double refused = 0;
   Millis refused_at;
 };
 
+/// The lender's reply to a request for tokens.
 struct QuotaLoan {
   std::uint32_t granted = 0;
-  /// Until there may be a token for one more; 0 if all were granted.
+  /// Time until one more token may be available; 0 if all were granted.
   Millis next_request;
-  /// Until there is one for a caller that is turned away now: those turned away
-  /// before come back as well.
+  /// Time until a token is available for a caller that is refused now, after
+  /// the callers that were refused before.
   Millis wait;
-  /// Half of the burst or more is left: the account is well below its limit.
+  /// At least half of the burst is left.
   bool is_well_below_limit = false;
 };
 
-/// Tokens that a bucket may hold beyond what was earned when its lender has
-/// just become it: a quarter of what the bound leaves besides the limit itself,
-/// so that two changes of lender within a window stay within it.
+/// Initial tokens of a new lender's bucket: a quarter of the margin between the
+/// bound and the limit, so that two changes of lender within a window stay
+/// within the bound.
 double InitialTokens(const QuotaRules& rules, const QuotaLimit& limit);
 
-/// The bucket of a node that has been the account's lender since `since`, and
-/// lends for the first time now. `since` lies in the past.
+/// Creates the bucket of a node that has been the account's lender since
+/// `since`, which must be in the past, and that lends for the first time now.
 QuotaBucket StartBucket(const QuotaRules& rules,
                         const QuotaLimit& limit,
                         double share,
                         Millis since,
                         Millis now);
 
-/// Lends up to `wanted` tokens. `part`: of the limit that may be lent here, see
-/// LentPart.
+/// Lends up to `wanted` tokens. `share`: the share of the limit that may be
+/// lent here, see LendableShare.
 QuotaLoan Lend(const QuotaRules& rules,
                const QuotaLimit& limit,
                double share,
@@ -91,75 +95,80 @@
                std::uint32_t wanted,
                QuotaBucket& bucket);
 
-/// Part of a limit that may be lent by a node that reaches `reached` of `known`
-/// nodes, itself counted in both. Up to a fourteenth of the nodes may be
-/// missing before it falls: those can lend no more than that on their side, and
-/// the bound leaves a tenth.
+/// Share of a limit that a node may lend if it reaches `reached` of `known`
+/// nodes, itself counted in both. It stays 1 while up to a fourteenth of the
+/// nodes is missing: those can lend no more than that on their side, and the
+/// bound leaves a tenth.
 double LendableShare(std::uint32_t reached, std::uint32_t known);
 
-// ---- the borrower's side ----
+// ---- Borrower ----
 
-/// What one node may let in for an account. Plain data; one thread at a time.
+/// One account at a node that borrows tokens for it. Plain data; one thread at
+/// a time.
 struct QuotaBorrower {
-  /// Tokens in stock, and when one was taken or came last.
+  /// Borrowed tokens, and when one was last taken or added.
   double tokens = 0;
   Millis last_used;
-  /// Requests here per second, and tokens lent to this node per second.
+  /// Requests per second at this node, and tokens per second lent to it.
   RateMeter demand;
   RateMeter lent;
   Millis rates_updated;
-  /// An ask is out since then, for so many; 0: none is.
+  /// Tokens asked for by the request to the lender that is not answered yet,
+  /// and when that request was first sent; 0 tokens: none is pending.
   std::uint32_t requested = 0;
   Millis requested_at;
-  /// When the ask was sent again last.
+  /// When the request was last resent.
   Millis last_request;
-  /// When the lender last said anything.
+  /// When the lender last replied.
   Millis last_reply;
-  /// The lender has none left before that, and what it said of the wait.
+  /// Before this time the lender has no tokens; the reply's advice on the wait.
   Millis exhausted_until;
   Millis wait;
   bool is_well_below_limit = false;
-  /// What the node lets in by itself while the lender is silent.
+  /// Limits what the node admits on its own while the lender is silent.
   TokenBucket fallback;
 };
 
+/// The decision about one request.
 enum class QuotaDecision : std::uint8_t {
   /// A token was taken.
   kTaken,
-  /// The account is over its limit.
+  /// The account exceeds its limit.
   kOverLimit,
-  /// To be asked for.
+  /// A token must be requested from the lender.
   kRequestTokens,
 };
 
-/// Decides one request that has just come.
+/// Decides about one request that has just arrived.
 QuotaDecision TakeQuota(Millis now, QuotaBorrower& borrower);
 
-/// Takes a token for a request that waited for one; it was counted before.
+/// Takes a borrowed token for a request that waited for one; the request was
+/// counted when it arrived.
 bool TakeBorrowed(Millis now, QuotaBorrower& borrower);
 
-/// Puts a token back that was not used: its request did not run.
+/// Returns an unused token: its request did not run.
 void GiveBack(Millis now, QuotaBorrower& borrower);
 
-/// Tokens to ask the lender for now; 0: nothing. The caller sends the ask.
+/// Number of tokens to request from the lender now; 0: none. The caller sends
+/// the request.
 std::uint32_t TokensToRequest(Millis now,
                               std::uint32_t waiting,
                               QuotaBorrower& borrower);
 
-/// Takes the lender's answer.
+/// Applies the lender's reply.
 void ApplyLoan(Millis now, const QuotaLoan& loan, QuotaBorrower& borrower);
 
-/// Whether the lender has not answered for longer than a round trip takes.
+/// Whether the lender has not replied for longer than a round trip takes.
 bool IsLenderSilent(Millis now, const QuotaBorrower& borrower);
 
-/// Takes a token of the node's own while the lender is silent.
+/// Takes a token of the node's own allowance while the lender is silent.
 bool TakeFallback(Millis now, QuotaBorrower& borrower);
 
-/// Whether a caller waits for a token, which will be there at once, rather than
-/// be turned away with `wait`.
+/// Whether a token will be available so soon that the caller should wait for it
+/// rather than be refused with the advice `wait`.
 bool IsShortWait(Millis wait);
 
-/// Whether the purse has been of no use for so long that it can be dropped.
+/// Whether the state has been unused for so long that it can be dropped.
 bool IsIdle(Millis now, const QuotaBorrower& borrower);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/repeat_allowance.h
+++ b/libs/control/include/almondlink/control/repeat_allowance.h
@@ -7,83 +7,88 @@
 
 #include "almondlink/base/clock.h"
 
-/// How often the nodes may send requests of a service once more.
+/// Limits how often nodes resend requests of a service ("repeats").
 ///
-/// The bound is on all nodes together: in any window, repeats at a service stay
-/// within a ratio of the requests for it plus a fixed number. The requests are
-/// those of that window, of the one before it, or of the one half a window
-/// before it, whichever has most: when targets begin to turn requests away,
-/// chains of calls die early and fewer requests come, and the bound does not
-/// fall with them at once.
+/// The bound covers all nodes together: in any window, the repeats at a service
+/// stay within a ratio of its requests plus a fixed number. The requests
+/// counted are those of that window, of the window before it or of the window
+/// half a window earlier, whichever is largest. When targets start to refuse,
+/// call chains are cut short and fewer requests arrive; the bound must not drop
+/// with them immediately.
 ///
-/// Each node keeps to the ratio of its own requests and to its part of the
-/// fixed number. So the sum over nodes holds without a message between them,
-/// also when a node starts anew with an empty window, as long as all nodes had
-/// most requests in the same window. Load that moves from node to node makes
-/// them differ, so nodes that repeat tell their counts, and each also keeps to
-/// the bound worked out from the sums.
+/// Each node keeps to the ratio of its own requests and to its share of the
+/// fixed number. The sum over the nodes then holds without messages between
+/// them, also when a node restarts with an empty window, as long as all nodes
+/// had most requests in the same window. Load that moves between nodes breaks
+/// that assumption, so nodes that repeat report their counts, and each node
+/// also keeps to the bound computed from the sums.
 ///
-/// A repeat is counted in every window that will hold it, so a node also looks
-/// ahead: what it sends now must fit into the windows that end later, with the
-/// requests that are known of them by now. A node that starts anew learns from
-/// its peers what it sent before.
+/// A repeat counts in every window that contains it, so a node also looks
+/// ahead: a repeat sent now must fit into the windows that end later, given the
+/// requests known so far. A restarted node learns from its peers what it sent
+/// before.
 ///
-/// When targets fail more than may be made good, repeats spread evenly save
-/// nobody: a chain of five calls of which each is refused by half and a fifth
-/// of those is sent again ends whole in 5 of 100. So what is left goes to some
-/// requests only, the same ones at all nodes and in all calls of their chains:
-/// those of the most urgent routes first, then those that one repeat makes
-/// whole, then those with the most calls of their chain behind them, which need
-/// the fewest more and would lose the most, and among equals those whose root
-/// has a low hash. With chains of four calls of which each is refused by half
-/// 0.622 of the most valued end whole, 0.555 by the hash alone (test/replay,
-/// the third trace of targets that refuse, means of twelve seeds). Where the
-/// order ends is worked out from what is asked for, by place, in the last
-/// second: keeping a fixed part for the first in order let the others take a
-/// third of a window's bound in the first second of a trouble.
+/// When targets fail more than repeats can make up for, spreading repeats
+/// evenly helps nobody: if each of five calls of a chain is refused with
+/// probability one half and a fifth of the refused calls is repeated, 5 % of
+/// the chains complete. So the remaining repeats go to some requests only, the
+/// same ones at all nodes and in all calls of their chains. The order is: the
+/// highest-priority routes; then requests that a single repeat completes; then
+/// those with the most answered calls of their chain, which need the fewest
+/// repeats and would lose the most work; then, among equals, a low hash of the
+/// root. With chains of four calls, each refused with probability one half,
+/// 62.2 % of the most important requests complete, against 55.5 % with the hash
+/// alone (third refusal trace of test/replay, mean of twelve seeds). How far
+/// down the order repeats are granted follows from the demand of the last
+/// second, by rank.
+/// Reserving a fixed share for the first in the order instead let the others
+/// take a third of a window's bound in the first second of an overload.
 namespace almondlink::control {
 
-/// What a request is that asks to be sent once more.
+/// A request that asks to be repeated.
 struct RepeatCandidate {
   std::uint32_t priority = 0;
-  /// How many calls its root makes at the service.
+  /// Calls that its root request makes at the service.
   double calls_per_root = 1;
-  /// Calls of its chain that have been answered there already.
+  /// Calls of its chain at the service that have been answered.
   std::uint32_t answered_calls = 0;
-  /// Of the id of its root request.
+  /// Hash of the id of the root request.
   std::uint64_t root_hash = 0;
 };
 
-/// The bound for the whole system.
+/// The bound for the whole deployment.
 struct RepeatRules {
   double ratio = 0.2;
   Millis window{10'000};
+  /// Repeats per window that all nodes together may add to the ratio.
   double fixed = 0;
   std::uint32_t nodes = 1;
-  /// Part of what the ratio allows that is used: the rest is for windows that
-  /// slide differently from ours and for what nodes told a moment ago.
+  /// Share of the ratio that a node uses. The rest covers windows of other
+  /// observers that are not aligned with the node's own, and reports that are a
+  /// moment old.
   double usable_share = 0.9;
-  /// How strictly the order is kept: a request is sent again only if what it
-  /// and those before it in order ask for, times this part, would fit into a
-  /// whole window. 0: whoever asks first. The fixed number is for everyone:
-  /// where requests are few, so are failures.
+  /// How strictly the order is kept: a request is repeated only if the demand
+  /// ranked ahead of it, multiplied by this factor, fits into a whole window.
+  /// 0: first come, first served. The fixed number is exempt: where requests
+  /// are few, failures are few as well.
   double order_strictness = 0.9;
-  /// The node started anew within the window and nobody remembers what it sent
-  /// before: as much of the ratio as `used_part` leaves is used meanwhile.
+  /// The node restarted within the window and no peer holds its earlier counts.
+  /// It meanwhile uses only `restarted_share` of the ratio, which fits into
+  /// what `usable_share` leaves unused.
   bool is_restarted = false;
   double restarted_share = 0.08;
 };
 
-/// Place of a request in the order in which repeats are given when few are
-/// left, from 0 (first) to 1.
+/// Rank of a request in the order in which scarce repeats are granted, from 0
+/// (first) to 1.
 double RepeatRank(const RepeatCandidate& candidate);
 
-/// Slots of a window; any span counts, and a window that begins within a slot
-/// is a twentieth longer here.
+/// Slots of a window. The bound holds for windows of any position; a window
+/// that starts within a slot is counted a twentieth longer.
 constexpr std::int64_t kWindowSlots = 20;
 /// Two windows and the current slot, rounded up.
 constexpr std::size_t kAllowanceSlots = 48;
-/// Places in the order that are told apart when wants are counted.
+/// Number of ranks that are told apart when the demand is counted.
 constexpr std::size_t kRankBuckets = 80;
 
 /// Requests and repeats of one service in the last two windows. Plain data; one
@@ -92,14 +97,14 @@
   std::array<std::uint32_t, kAllowanceSlots> requests{};
   std::array<std::uint32_t, kAllowanceSlots> repeats{};
   std::int64_t slot = 0;
-  /// Repeats taken over from an earlier start of the node.
+  /// Repeats restored from an earlier incarnation of the node.
   std::uint32_t restored_repeats = 0;
-  /// Repeats asked for in the current slot and the one before, by place.
+  /// Repeats asked for in the current slot and in the previous one, by rank.
   std::array<std::uint32_t, kRankBuckets> wanted{};
   std::array<std::uint32_t, kRankBuckets> wanted_previous{};
 };
 
-/// Requests of the window that ends now, of the one half a window before it and
+/// Requests of the window that ends now, of the one half a window earlier and
 /// of the one before it, and repeats of the window that ends now.
 struct RepeatCounts {
   std::uint32_t requests = 0;
@@ -108,30 +113,30 @@
   std::uint32_t repeats = 0;
 };
 
-/// Notes a request that is sent to a target for the first time.
+/// Counts a request that is sent to a target for the first time.
 void RecordRequest(const RepeatRules& rules,
                    Millis now,
                    RepeatAllowance& allowance);
 
-/// Notes a repeat that was made anyway, such as a call of a run that is itself
-/// a repeat.
+/// Counts a repeat that did not go through TakeRepeat, such as a call made by a
+/// run that is itself a repeat.
 void RecordRepeat(const RepeatRules& rules,
                   Millis now,
                   RepeatAllowance& allowance);
 
-/// What this node tells the others.
+/// The counts that this node reports to the others.
 RepeatCounts WindowCounts(const RepeatRules& rules,
                           Millis now,
                           RepeatAllowance& allowance);
 
-/// Takes over what an earlier start of this node told another one last, as if
-/// its repeats were made just now.
+/// Restores the counts that an earlier incarnation of this node last reported
+/// to a peer. Its repeats count as made now.
 void RestoreCounts(const RepeatRules& rules,
                    Millis now,
                    const RepeatCounts& reported,
                    RepeatAllowance& allowance);
 
-/// What a node may do now, and has done.
+/// The bound of one window and the repeats made in it.
 struct RepeatCapacity {
   double bound = 0;
   double repeats = 0;
@@ -139,16 +144,18 @@
   double bound_by_ratio = 0;
 };
 
-/// The window of this node that is tightest, of those that end now or later.
+/// The window of this node with the least capacity left, among those that end
+/// now or later.
 RepeatCapacity CapacityForRepeats(const RepeatRules& rules,
                                   Millis now,
                                   RepeatAllowance& allowance);
 
-/// Whether the sums of what nodes told leave room for one more.
+/// Whether the sums of the counts that all nodes reported allow one more
+/// repeat.
 bool HasSharedCapacity(const RepeatRules& rules, const RepeatCounts& sums);
 
-/// Takes one repeat; false if there is none left for a request at `place`. Asks
-/// in any case.
+/// Takes one repeat. Returns false if none is left for a request of this rank.
+/// Counts towards the demand in either case.
 bool TakeRepeat(const RepeatRules& rules,
                 double rank,
                 Millis now,
--- a/libs/control/include/almondlink/control/request_digest.h
+++ b/libs/control/include/almondlink/control/request_digest.h
@@ -7,12 +7,13 @@
 
 namespace almondlink::control {
 
-/// Names a request by what it asks for, whatever its id, its other header
-/// fields and its deadline: the same on all nodes. 128 bits of a cryptographic
-/// hash, so nobody can make a request that is taken for another account's.
+/// Identifies a request by its content: its id, its deadline and most header
+/// fields are left out, and all nodes compute the same value. 128 bits come
+/// from a cryptographic hash, so a client cannot craft a request that collides
+/// with one of another account.
 struct RequestDigest {
-  /// Hash of the path alone: where nothing is known of a path, the rest need
-  /// not be computed.
+  /// Hash of the path alone. If no request with this path is of interest, the
+  /// rest of the digest need not be computed.
   std::uint64_t path = 0;
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -28,7 +29,7 @@
   return std::tie(a.path, a.high, a.low) < std::tie(b.path, b.high, b.low);
 }
 
-/// As 32 hexadecimal digits, without the path, for logs and the command line.
+/// 32 hexadecimal digits without the path hash, for logs and the command line.
 std::string ToString(const RequestDigest& digest);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/retry_budget.h
+++ b/libs/control/include/almondlink/control/retry_budget.h
@@ -5,28 +5,29 @@
 #include <cstdint>
 
 /// Retry budget of one team at one node: a token bucket that first attempts
-/// fill in proportion and retries empty. It bounds the share of retries in a
-/// team's traffic, while the grant bounds the retries of one root request.
+/// fill in proportion and retries drain. It limits the share of retries in a
+/// team's traffic, whereas the grant limits the retries of one root request.
 namespace almondlink::control {
 
-/// Tokens in thousandths. All functions below are thread safe and lock-free.
+/// Thousandths of a token. All functions below are thread safe and lock-free.
 struct RetryBudget {
   std::atomic<std::int64_t> millitokens{0};
 };
 
-/// Limits of a budget, from the bundle.
+/// Limits of a budget, taken from the policy bundle.
 struct RetryBudgetLimits {
   double ratio = 0.1;
   std::int64_t burst = 20;
 };
 
-/// Fills a fresh budget to its burst.
+/// Fills a new budget up to its burst.
 void FillBudget(const RetryBudgetLimits& limits, RetryBudget& budget);
 
 /// Adds what one first attempt earns, up to the burst.
 void EarnRetry(const RetryBudgetLimits& limits, RetryBudget& budget);
 
-/// Takes one token; false, and no change, if there is not a whole one.
+/// Takes one token. Returns false and changes nothing if there is less than a
+/// whole token.
 bool SpendRetry(RetryBudget& budget);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/retry_decision.h
+++ b/libs/control/include/almondlink/control/retry_decision.h
@@ -8,37 +8,39 @@
 
 namespace almondlink::control {
 
-/// What is known when an attempt has failed.
+/// What is known about a failed attempt.
 struct FailedAttempt {
   ErrorKind kind = ErrorKind::kInternal;
-  /// The target answered with a server error of its own (kind is kNone).
+  /// The target answered with a server error of its own (`kind` is kNone).
   bool is_server_error = false;
   bool is_repeatable = true;
-  /// Attempts made so far by this node for this call.
+  /// Attempts that this node has made for this call.
   std::uint32_t attempts = 1;
   /// Time left until the deadline.
   Millis time_left;
-  /// Time the next attempt likely needs at least.
+  /// Expected minimum duration of the next attempt.
   LatencyMs expected_latency;
-  /// Whether a target that was not tried is available.
+  /// Whether a target that has not been tried is available.
   bool has_other_target = false;
 };
 
+/// What a node does after a failed attempt.
 enum class RetryChoice {
   /// Try another target now.
   kRetry,
-  /// Give the answer up to the caller.
+  /// Pass the failure on to the caller.
   kGiveUp,
 };
 
-/// Whether a node should try again by itself, the grant and the budget left
-/// aside. A refused at-most-once call may be tried elsewhere because nothing
-/// was run; one with unknown outcome never is. A server error is tried
-/// elsewhere when the call is repeatable: one broken target must not fail its
-/// share of all requests. Pure.
+/// Whether a node should retry a call on its own; the grant and the budget are
+/// checked separately. A refused at-most-once call may be retried elsewhere
+/// because nothing was run; one with an unknown outcome never is. A server
+/// error is retried elsewhere if the call is repeatable, so that one broken
+/// target does not fail its share of all requests. Pure.
 RetryChoice DecideRetry(const FailedAttempt& failed);
 
-/// Wait before the next attempt. `draw` is uniform in [0, 1). Pure.
+/// Delay before the next attempt, with full jitter. `draw` is uniform in [0,
+/// 1). Pure.
 Millis RetryDelay(std::uint32_t attempts, double draw);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/retry_grant.h
+++ b/libs/control/include/almondlink/control/retry_grant.h
@@ -3,30 +3,31 @@
 
 #include <cstdint>
 
-/// The retry grant of a root request.
+/// Retry grant of a root request.
 ///
-/// The root request gets a count of retries at its entry node. The count is
+/// The root request gets a number of retries at its entry node. The number is
 /// never copied: a node lends a part of what it holds with each call and takes
-/// the unspent part back from the answer. Let G be the grant and n the calls
-/// that the services make by themselves. Each retry anywhere takes one from a
-/// holder, and the sum over all holders never grows, so the whole tree sees at
-/// most n + G attempts, however calls are nested or run side by side. A lost
-/// answer loses what was lent with its call: the bound errs to fewer retries.
+/// the unspent part back from the answer. Let G be the grant and n the number
+/// of calls that the services make themselves. Each retry anywhere takes one
+/// from its holder, and the sum over all holders never grows, so the whole call
+/// tree makes at most n + G attempts, however calls are nested or run in
+/// parallel. If an answer is lost, the retries lent with its call are lost too,
+/// which only lowers the number of retries.
 namespace almondlink::control {
 
-/// What one holder has and what it has lent out.
+/// The retries that one holder has left.
 struct RetryGrant {
   std::uint32_t available = 0;
 };
 
-/// Takes one retry. False, and no change, if none is left.
+/// Takes one retry. Returns false and changes nothing if none is left.
 bool TakeRetry(RetryGrant& grant);
 
-/// Takes the part to lend with one call: half of what is there, rounded down,
-/// so that the holder can still repeat the call when its answer is lost.
+/// Takes the part to lend with one call: half of what is available, rounded
+/// down, so that the holder can still repeat the call if its answer is lost.
 std::uint32_t Lend(RetryGrant& grant);
 
-/// Takes back the unspent part; never more than was lent.
+/// Takes back the unspent part of what was lent, at most `lent`.
 void GiveBack(RetryGrant& grant, std::uint32_t lent, std::uint32_t unspent);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/target_health.h
+++ b/libs/control/include/almondlink/control/target_health.h
@@ -5,22 +5,22 @@
 
 #include "almondlink/base/clock.h"
 
-/// Outlier targets are set aside by the outcomes that this node saw itself;
-/// what a target reports of its health is never asked. Where all targets of a
-/// service fail alike none is an outlier: setting one aside would only take its
-/// slots away. A target set aside is
-/// tried again after a wait that doubles up to a limit, by one request at a
-/// time, until a few succeed.
+/// Outlier detection: ejects a target by the outcomes that this node observed
+/// itself; the health that a target reports is not used. If all targets of a
+/// service fail alike, none is an outlier, and ejecting one would only remove
+/// its capacity. An ejected target is tried again after a delay that doubles up
+/// to a limit, with one trial request at a time until several in a row succeed.
 namespace almondlink::control {
 
+/// kOnTrial: the target was ejected and has to succeed on trial requests.
 enum class HealthState { kHealthy, kEjected, kOnTrial };
 
-/// When a target is set aside.
+/// When a target is ejected.
 struct HealthRules {
-  /// Failures in a row; 0: never.
+  /// Consecutive failures; 0: never eject.
   std::uint32_t consecutive_failures = 5;
-  /// It must fail so many times as often as the others, and a tenth more. 0:
-  /// whatever the others do.
+  /// The failure rate must exceed that of the other targets by this factor, and
+  /// by 0.1 more. 0: ignore the other targets.
   double outlier_factor = 1.5;
 };
 
@@ -30,38 +30,42 @@
   std::uint32_t consecutive_failures = 0;
   std::uint32_t consecutive_successes = 0;
   std::uint32_t ejections = 0;
-  /// Part of the last few dozen outcomes that were failures.
+  /// Moving average over the last few dozen outcomes: share of failures.
   double failure_rate = 0;
-  /// Part of the last few dozen answers that were failures of the target's own.
+  /// Moving average over the last few dozen answers: share of the target's own
+  /// errors.
   double error_rate = 0;
+  /// No request is sent before; for kEjected.
   Millis ejected_until;
   bool is_trial_in_flight = false;
-  /// When the trial went out; one that never came back does not block.
+  /// When the trial request was sent. A trial without an outcome blocks further
+  /// ones only for a limited time.
   Millis trial_sent;
 };
 
-/// Takes one outcome: `is_failure` means the target or its node failed (lost,
-/// unreachable, timed out, bad answer), not that it refused. True if the target
-/// was set aside by it. `failing_others`: mean of `failing` over the service's
-/// other targets.
+/// Records one outcome. `is_failure` means that the target or its node failed
+/// (lost, unreachable, timed out, bad answer), not that it refused.
+/// `failing_others` is the mean failure rate of the other targets of the
+/// service. Returns true if this outcome ejected the target.
 bool RecordOutcome(const HealthRules& rules,
                    Millis now,
                    bool is_failure,
                    double others_failure_rate,
                    TargetHealth& health);
 
-/// Takes whether an answer was a failure of the target's own, which does not
-/// set it aside.
+/// Records whether an answer was an error of the target's own, which does not
+/// eject it.
 void RecordAnswerError(bool is_error, TargetHealth& health);
 
 /// Whether the target may get a request now.
 bool MayUse(Millis now, const TargetHealth& health);
 
-/// Notes that a request is sent to it.
+/// Records that a request is sent to the target.
 void RecordSent(Millis now, TargetHealth& health);
 
-/// Most targets of a service that may be set aside at once; with more, the
-/// cause is likely shared and setting aside only concentrates load.
+/// Maximum number of targets of a service that may be ejected at once. If more
+/// fail, the cause is probably shared, and ejecting them would only concentrate
+/// the load.
 std::size_t MaxEjected(std::size_t targets);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/token_bucket.h
+++ b/libs/control/include/almondlink/control/token_bucket.h
@@ -7,7 +7,7 @@
 
 namespace almondlink::control {
 
-/// Token bucket: limit on how much is taken from one source. Plain data; one
+/// Token bucket: limits how much is accepted from one source. Plain data; one
 /// thread at a time.
 struct TokenBucket {
   double tokens = 0;
@@ -15,15 +15,15 @@
   bool is_initialized = false;
 };
 
-/// Fills the bucket up to `now`, to at most `most` tokens. One that was never
-/// filled starts full.
+/// Fills the bucket for the time up to `now`, to at most `max_tokens`. A bucket
+/// that was never filled starts full.
 void Refill(double per_second,
             double max_tokens,
             Millis now,
             TokenBucket& bucket);
 
-/// Takes one; false if the source has sent too much. Bursts of up to one
-/// second's worth are let through.
+/// Takes one token. Returns false if the source exceeds `per_second`. The burst
+/// is what one second earns.
 bool TakeToken(double per_second, Millis now, TokenBucket& bucket);
 
 }  // namespace almondlink::control
--- a/libs/control/include/almondlink/control/trial_registry.h
+++ b/libs/control/include/almondlink/control/trial_registry.h
@@ -10,28 +10,28 @@
 #include "almondlink/base/clock.h"
 #include "almondlink/control/request_digest.h"
 
-/// Trials of requests that targets ended under
-/// (almondlink/control/quarantine.h), as the one node knows them that permits
-/// those of a service.
+/// Running trials of quarantined requests (almondlink/control/quarantine.h),
+/// kept by the one node that grants the trials of a service.
 ///
-/// A request is tried once at a time, whoever sends it, and each trial has a
-/// target to itself, so that an end names one request. While there is another
-/// one, one target of the service is left without a trial.
+/// A request has at most one trial at a time, whichever node asks for it, and
+/// each trial has a target to itself, so that a crash incriminates exactly one
+/// request. One target of the service is kept free of trials unless the service
+/// has only one.
 namespace almondlink::control {
 
-/// A target of the service that takes calls.
+/// A target of the service that accepts calls.
 struct TrialCandidate {
-  /// Node beside it.
+  /// The node beside the target.
   std::string node;
-  /// Calls that would be lost with it.
+  /// Calls that would be lost if the target crashed.
   std::uint32_t calls_in_flight = 0;
 };
 
-/// One that is under way.
+/// A running trial.
 struct Trial {
   std::string service;
   std::string node;
-  /// Then nobody waits for it any more.
+  /// From then on the trial counts as abandoned.
   Millis expires_at;
 };
 
@@ -40,8 +40,9 @@
   std::map<RequestDigest, Trial> trials;
 };
 
-/// Permits a trial of the request until `until`, at the place returned: that
-/// with the fewest calls. Nothing if it must wait.
+/// Grants a trial of the request that expires at `expires_at`. Returns the node
+/// of the candidate with the fewest calls in flight, or nothing if the request
+/// must wait.
 std::optional<std::string> PermitTrial(
     Millis now,
     const RequestDigest& digest,
@@ -50,7 +51,7 @@
     Millis expires_at,
     TrialRegistry& registry);
 
-/// The trial is over, whatever came of it.
+/// Ends the trial, whatever its outcome.
 void EndTrial(const RequestDigest& digest, TrialRegistry& registry);
 
 }  // namespace almondlink::control
--- a/libs/control/src/answer_match.cc
+++ b/libs/control/src/answer_match.cc
@@ -7,7 +7,7 @@
     case AnswerId::kMatching:
       return AnswerAction::kDeliver;
     case AnswerId::kMismatching:
-      // On a fresh connection there was no earlier request whose it could be.
+      // No earlier request was sent on this connection, so the id is invalid.
       return trust.is_first_request ? AnswerAction::kReject
                                     : AnswerAction::kSkip;
     case AnswerId::kMissing:
--- a/libs/control/src/claims.cc
+++ b/libs/control/src/claims.cc
@@ -10,9 +10,9 @@
   if (first_retained <= claims.next_offset) {
     return;
   }
-  // At the very start the log's retention, checked against the key lifetime by
-  // the caller, covers every key that is still accepted. A gap later on means
-  // that records passed unread.
+  // On the first read nothing is missing: the caller checks the log's retention
+  // against the key lifetime, so the retained records cover every key that is
+  // still accepted. A later gap means that records were dropped unread.
   const bool is_start = claims.next_offset == 0;
   if (!is_start) {
     claims.has_gap = true;
--- a/libs/control/src/error_rate.cc
+++ b/libs/control/src/error_rate.cc
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// Weight of one answer: some twenty are remembered, a tenth of a second where
-/// a target answers 200 in a second.
+/// Weight of one answer in the moving average: about twenty answers, which a
+/// target with 200 answers per second sends in a tenth of a second.
 constexpr double kAnswerWeight = 0.05;
-/// Time constant of the belief without an answer: a target that is sound again
-/// is tried within a second.
+/// Time constant of the decay without answers: a target that has recovered is
+/// tried within a second.
 constexpr double kDecayMs = 400;
-/// How much a target's share must lie over the others', which themselves
-/// differ by chance.
+/// A target stands out only if its rate exceeds this multiple of the others'
+/// mean plus a margin, because rates differ by chance.
 constexpr double kErrorFactor = 1.5;
 constexpr double kErrorMargin = 0.1;
 
--- a/libs/control/src/idempotency_key.cc
+++ b/libs/control/src/idempotency_key.cc
@@ -53,7 +53,7 @@
   return parsed.ec == std::errc() && parsed.ptr == end;
 }
 
-/// The node id may hold dots, so the text is cut from its end.
+/// The node id may contain dots, so the text is split from its end.
 std::vector<std::string> SplitMinted(const std::string& text) {
   std::vector<std::string> parts(kMintedParts);
   std::size_t end = text.size();
--- a/libs/control/src/instance_tracker.cc
+++ b/libs/control/src/instance_tracker.cc
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// Starts remembered beside the current one.
+/// Incarnations remembered in addition to the current one.
 constexpr std::size_t kMaxRemembered = 64;
-/// A start that seems earlier by its clock is believed after so long without a
-/// word of the current one: two reports of the deployments known, so that one
-/// that is late or lost does not end a living instance.
+/// An incarnation with an earlier start time replaces the current one after
+/// this time without a report of the current one. That is two report intervals,
+/// so that one late or lost report does not end a running instance.
 constexpr Millis kSilenceUntilReplaced{3000};
 
-/// The first reports of an instance whose node starts with it: one may be lost
-/// while the node's port is not open yet.
+/// Highest first sequence number of an instance that starts together with its
+/// node: one report may be lost before the node's port is open.
 constexpr std::uint64_t kMaxFirstSequence = 2;
 
 template <typename Entries>
@@ -78,9 +78,9 @@
   return is_changed ? ReportEffect::kChanged : ReportEffect::kRefreshed;
 }
 
-/// Whether a start that seems earlier, or was replaced, has reported for long
-/// enough with nothing from the current one: then its clock went back, and it
-/// is the living one.
+/// Whether an incarnation that seems earlier, or was replaced, has kept
+/// reporting long enough while the current one was silent. Then its clock was
+/// set back and it is the running one.
 bool IsConfirmedAlive(Millis now,
                       const InstanceReport& report,
                       InstanceTracker& tracker) {
@@ -96,13 +96,13 @@
   return now - candidate.first_report >= kSilenceUntilReplaced;
 }
 
-/// Whether the report is a late one of a start that the current one followed.
+/// Whether the report is a late one of an incarnation that was replaced.
 bool IsStale(const InstanceReport& report, const InstanceTracker& tracker) {
   const auto known = tracker.superseded.find(report.incarnation);
   if (known != tracker.superseded.end() && report.sequence <= known->second) {
     return true;
   }
-  // A later start under the same id has been here.
+  // A later incarnation of the same id has reported before.
   const auto next = tracker.superseded.upper_bound(report.incarnation);
   return report.incarnation.started_at != 0 &&
          next != tracker.superseded.end() &&
@@ -131,12 +131,12 @@
                ? Replace(now, report, tracker)
                : ReportEffect::kIgnored;
   }
-  // One that leaves has nothing to take over from a living one.
+  // A leaving incarnation does not replace a running instance.
   const bool is_other_living =
       tracker.departed.count(report.incarnation) != 0 &&
       tracker.phase == InstancePhase::kReady;
-  // Seen late after this node started anew: the current one began after it and
-  // is still there.
+  // An instance that started before the current one, seen late because this
+  // node restarted: the current one is still running.
   const bool is_outlived = has_current && report.incarnation.started_at != 0 &&
                            report.incarnation.started_at < current.started_at &&
                            now - tracker.last_report < kSilenceUntilReplaced;
@@ -153,7 +153,7 @@
   const bool is_current_id =
       tracker.phase != InstancePhase::kNone && current.id == incarnation.id;
   RecordDeparted(incarnation, tracker);
-  // A later start that leaves means that the one known here is gone as well.
+  // If a later incarnation leaves, the one known here has ended as well.
   const bool is_meant = incarnation.started_at == 0 ||
                         incarnation.started_at >= current.started_at;
   return is_current_id && is_meant ? StartLeaving(now, tracker)
--- a/libs/control/src/link_silence.cc
+++ b/libs/control/src/link_silence.cc
@@ -4,10 +4,10 @@
 
 namespace {
 
-/// Three round trips of a busy node: silence after which it is asked.
+/// Silence after which a peer is pinged: three round trips of a busy node.
 constexpr Millis kPingAfter{300};
-/// Two questions without a word: 0.7 s after its last word on a busy link, as
-/// long as a busy node never is silent.
+/// Two pings without a reply: 0.7 s after the last message on a busy link,
+/// longer than a busy node is ever silent.
 constexpr Millis kSuspectAfterPing{400};
 
 }  // namespace
--- a/libs/control/src/membership.cc
+++ b/libs/control/src/membership.cc
@@ -32,9 +32,9 @@
   entry.transmissions = 0;
 }
 
-/// News of this node itself: only a higher version than the one in the news
-/// silences it. News of a later incarnation is another process under the same
-/// id; this node cannot outbid it and says nothing.
+/// Merges an update about this node itself. Only a higher version than the
+/// update's refutes it. An update with a later incarnation comes from another
+/// process under the same id; this node cannot refute it and ignores it.
 MergeResult MergeSelf(const wire::Member& update,
                       Millis now,
                       Membership& membership) {
@@ -70,8 +70,8 @@
       membership.probe_order.push_back(node);
     }
   }
-  // A rotation and a stride that is coprime to the count visit each member
-  // once, in an order that differs between rounds.
+  // A rotation and a shuffle that depend on `draw` give each member one probe
+  // per round, in an order that differs between rounds.
   const std::size_t count = membership.probe_order.size();
   if (count < 2) {
     return;
--- a/libs/control/src/quarantine.cc
+++ b/libs/control/src/quarantine.cc
@@ -27,26 +27,26 @@
                                      record.crashed_incarnations.size());
 }
 
-/// What is forgotten first: the fewest failed trials, the fewest ends, the
-/// oldest.
+/// Order of eviction: the fewest failed trials first, then the fewest crashes,
+/// then the oldest.
 auto EvictionOrder(const QuarantineRecord& record) {
   return std::make_tuple(record.failed_trials,
                          record.crashed_incarnations.size(),
                          record.last_crash.count);
 }
 
-/// The record of the request, after room was made for a new one.
+/// The record of the request; evicts another one if a new record needs space.
 QuarantineRecord& FindOrAddRecord(const QuarantineRules& rules,
                                   const RequestDigest& digest,
                                   QuarantineTable& table) {
   const bool is_full = table.records.size() >= rules.max_records &&
                        table.records.count(digest) == 0;
   if (is_full) {
-    table.records.erase(
-        std::min_element(table.records.begin(), table.records.end(),
-                         [](const auto& a, const auto& b) {
-                           return EvictionOrder(a.second) < EvictionOrder(b.second);
-                         }));
+    table.records.erase(std::min_element(
+        table.records.begin(), table.records.end(),
+        [](const auto& a, const auto& b) {
+          return EvictionOrder(a.second) < EvictionOrder(b.second);
+        }));
   }
   return table.records[digest];
 }
@@ -60,7 +60,7 @@
     return false;
   }
   if (record.crashed_incarnations.size() >= kMaxCrashedIncarnations) {
-    // The latest are those that others may still tell of.
+    // Other nodes may still report the latest ones, so the oldest is dropped.
     record.crashed_incarnations.erase(record.crashed_incarnations.begin());
   }
   record.crashed_incarnations.push_back(incarnation);
--- a/libs/control/src/quota_lending.cc
+++ b/libs/control/src/quota_lending.cc
@@ -8,44 +8,45 @@
 namespace {
 
 constexpr double kMillisPerSecond = 1000;
-/// Part of the room that the bound leaves which a change of lender may use.
+/// Share of the margin between bound and limit that one change of lender may
+/// use.
 constexpr double kInitialShare = 0.25;
-/// Part of the nodes that a lender must reach to lend the whole limit.
+/// Share of the nodes that a lender must reach to lend the whole limit.
 constexpr double kFullLendingReach = 0.93;
-/// Part of its most that a bucket holds where its account is well below its
+/// Share of its maximum that a bucket holds if its account is well below the
 /// limit.
 constexpr double kWellBelowLimitShare = 0.5;
-/// Memory of the requests that were turned away.
+/// Time constant of the decay of refused requests.
 constexpr double kRefusedDecayMs = 1000;
-/// Longest advice when there may be a token.
+/// Longest wait that is advised.
 constexpr Millis kMaxWait{2000};
-/// A borrower asks again no sooner, and at the latest after this, though the
-/// lender has nothing: some asks a second for each node and account over its
-/// limit.
+/// Bounds on the time after which a borrower asks a lender without tokens
+/// again: a few requests per second for each node and account over its limit.
 constexpr Millis kMinNextRequest{20};
 constexpr Millis kMaxNextRequest{200};
-/// A caller is kept waiting for a token that comes within this time: coming
-/// back would take it longer.
+/// A caller waits for a token that is available within this time: a retry would
+/// take longer.
 constexpr Millis kShortWait{50};
-/// Demand is followed and stock is held for this long ahead.
+/// Tokens are borrowed for the demand of this long ahead.
 constexpr double kPrefetchMs = 100;
-/// Rates are averaged over this time: a few round trips to the lender.
+/// Averaging time of the rates: a few round trips to the lender.
 constexpr double kRateDecayMs = 500;
 constexpr Millis kRateWindow{50};
-/// Stock that was not touched for so long is dropped: the lender counted it
-/// when it was lent, and a later use would lie in another window.
+/// Borrowed tokens that were not used for this long are dropped: the lender
+/// counted them when it lent them, and a later use would fall into another
+/// window.
 constexpr Millis kBorrowedLifetime{500};
-/// An ask is answered within a round trip, a few milliseconds or, between
-/// regions, some forty.
+/// The lender replies within a round trip: a few milliseconds, or about forty
+/// between regions.
 constexpr Millis kReplyTimeout{60};
-/// A silent lender is replaced by then; a node that has heard of none for
-/// longer lets nothing more in by itself.
+/// A silent lender is replaced within this time; a node that has heard from no
+/// lender for longer admits nothing on its own.
 constexpr Millis kFallbackDuration{2500};
-/// Part of what a node was lent that it goes on with by itself.
+/// Share of the rate lent to a node that it continues with on its own.
 constexpr double kFallbackShare = 0.8;
 constexpr Millis kIdleAfter{10'000};
 
-/// Most tokens that a bucket holds.
+/// Maximum number of tokens in a bucket.
 double MaxTokens(const QuotaRules& rules,
                  const QuotaLimit& limit,
                  double share) {
@@ -53,7 +54,7 @@
                   share * std::max(limit.burst, InitialTokens(rules, limit)));
 }
 
-/// Time in which so many tokens are earned.
+/// Time in which this number of tokens is earned, at most kMaxWait.
 Millis WaitFor(double tokens, double per_s) {
   const auto longest = static_cast<double>(kMaxWait.count);
   const double wait = per_s > 0 ? tokens / per_s * kMillisPerSecond : longest;
@@ -67,7 +68,7 @@
   }
   const auto span = static_cast<double>(elapsed.count);
   UpdateRate(span, kRateDecayMs, borrower.demand);
-  // While the lender is silent the node goes on by what it was lent before.
+  // While the lender is silent, the node keeps the rate lent to it before.
   if (!IsLenderSilent(now, borrower)) {
     UpdateRate(span, kRateDecayMs, borrower.lent);
   }
@@ -177,7 +178,7 @@
   const double missing = std::max(0.0, ahead - borrower.tokens);
   const auto wanted = waiting + static_cast<std::uint32_t>(missing);
   if (wanted > 0) {
-    // An ask that was not answered stays the first of its silence.
+    // An unanswered request keeps the time of its first transmission.
     borrower.requested_at =
         borrower.requested > 0 ? borrower.requested_at : now;
     borrower.last_request = now;
--- a/libs/control/src/repeat_allowance.cc
+++ b/libs/control/src/repeat_allowance.cc
@@ -6,28 +6,28 @@
 
 namespace {
 
-/// Priorities that are told apart, those of accounts before those of routes;
-/// the rest counts as the last.
+/// Number of distinct priorities, those of accounts before those of routes; all
+/// lower ones count as the last.
 constexpr std::uint32_t kPriorities = 8;
-/// Within a priority requests that make about one call at the service are told
-/// apart from those that make more.
+/// Requests with at most this many calls at the service count as making a
+/// single call, and rank ahead of others of their priority.
 constexpr double kMaxSingleCall = 1.5;
-/// Part of a priority's places for the first kind: few, so that the places of
-/// the others begin low where there is none of it.
+/// Share of a priority's ranks for single-call requests. It is small so that
+/// the ranks of the others start low when there are no such requests.
 constexpr double kSingleCallShare = 0.1;
-/// Up to which of a priority's places those stand that have calls of their
-/// chain behind them. From 0.3 to 0.6 it makes no difference beyond chance
-/// (test/replay, twelve seeds).
+/// Upper end, within a priority's ranks, of the requests that have answered
+/// calls of their chain. Simulated values from 0.3 to 0.6 differ by no more
+/// than chance.
 constexpr double kStartedChainsEnd = 0.5;
-/// Bits of a hash that place a request within its kind.
+/// Bits of the hash that determine the rank within its group.
 constexpr int kHashBits = 32;
 constexpr int kUnusedBits = 32;
-/// The bound of all is kept a little off: in the fifth of a second between two
-/// words of a node it repeats up to a twentieth of a window's bound.
+/// Keeps the shared bound below its exact value: in the 0.2 s between two
+/// reports of a node it may send up to a twentieth of a window's repeats.
 constexpr double kSharedBoundShare = 0.92;
 
-/// Part of the fixed number that is used: a start after the loss of all nodes
-/// uses as much again within the same window.
+/// Share of the fixed number that is used: if all nodes restart without a
+/// memory of their counts, they use as much again within the same window.
 constexpr double kFixedShare = 0.5;
 
 constexpr auto kRingSize = static_cast<std::int64_t>(kAllowanceSlots);
@@ -40,7 +40,7 @@
   return std::max<std::int64_t>(1, rules.window.count / kWindowSlots);
 }
 
-/// Clears the slots that have left both windows; the number of the current one.
+/// Clears the slots that have left both windows; returns the current slot.
 std::int64_t Advance(const RepeatRules& rules,
                      Millis now,
                      RepeatAllowance& allowance) {
@@ -60,7 +60,7 @@
   return allowance.slot;
 }
 
-/// Sum of the slots from `first` to `last` that are known.
+/// Sum of those slots from `first` to `last` that are still stored.
 double SumOf(const std::array<std::uint32_t, kAllowanceSlots>& counts,
              std::int64_t current,
              std::int64_t first,
@@ -87,8 +87,8 @@
   return SumOf(allowance.repeats, allowance.slot, last - kWindowSlots, last);
 }
 
-/// Repeats that would be asked for in a whole window by those before `index` in
-/// order, at the rate of the last half to whole second.
+/// Repeats that requests ranked ahead of `index` would ask for in a whole
+/// window, extrapolated from the last half to whole second.
 double DemandAhead(const RepeatRules& rules,
                    std::size_t index,
                    Millis now,
--- a/libs/control/src/retry_decision.cc
+++ b/libs/control/src/retry_decision.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Most attempts of one call at one node, whatever the grant.
+/// Maximum number of attempts of one call at one node, whatever the grant.
 constexpr std::uint32_t kMaxAttempts = 4;
 constexpr std::int64_t kBaseDelay = 5;
 constexpr std::int64_t kMaxDelay = 80;
--- a/libs/control/src/target_health.cc
+++ b/libs/control/src/target_health.cc
@@ -10,10 +10,10 @@
 constexpr Millis kBaseEjectionTime{500};
 constexpr std::uint32_t kMaxDoublings = 4;
 constexpr Millis kTrialTimeout{1000};
-/// Weight of one outcome: some twenty of them are remembered, so that five
-/// failures in a row stand out from a target that never failed.
+/// Weight of one outcome in the moving average: about twenty outcomes, so that
+/// five failures in a row stand out against a target that never failed.
 constexpr double kOutcomeWeight = 0.05;
-/// How much more than the others an outlier fails at least.
+/// Minimum by which an outlier's failure rate exceeds that of the others.
 constexpr double kOutlierMargin = 0.1;
 
 void Eject(Millis now, TargetHealth& health) {
--- a/libs/control/tests/answer_match_test.cc
+++ b/libs/control/tests/answer_match_test.cc
@@ -2,7 +2,8 @@
 
 #include <catch2/catch.hpp>
 
-/// Guards against a target's answer that reaches another request's caller.
+/// Guards against delivering a target's answer to the caller of another
+/// request.
 namespace almondlink::control {
 namespace {
 
--- a/libs/control/tests/error_rate_test.cc
+++ b/libs/control/tests/error_rate_test.cc
@@ -16,7 +16,7 @@
   }
   REQUIRE(CurrentErrorRate(Millis{1000}, errors) > 0.6);
   REQUIRE(CurrentErrorRate(Millis{2000}, errors) < 0.1);
-  // One more brings it back; one success does not.
+  // One more error restores the rate; one success does not.
   ErrorRate sound = errors;
   UpdateErrorRate(Millis{2000}, true, errors);
   REQUIRE(CurrentErrorRate(Millis{2000}, errors) > 0.6);
@@ -32,8 +32,8 @@
   REQUIRE(ExcessErrorRate(1, 0.004) > 0.85);
 }
 
-/// Eight targets of which the first `erring` fail at once; returns the part of
-/// the calls that went to these. Four of ten slots are busy.
+/// Eight targets of which the first `failing` fail immediately. Returns the
+/// share of the calls sent to these. Four of ten slots are busy.
 double ShareSentToFailing(const PlaceRules& rules, std::size_t failing) {
   std::vector<PlaceView> views(8);
   for (std::size_t i = 0; i < views.size(); ++i) {
@@ -61,9 +61,8 @@
 }
 
 TEST_CASE("a target that fails at once does not draw the load") {
-  // Pattern: one of eight targets answers every call with an error within a
-  // millisecond, so it is always free. It may get less than a tenth of its
-  // eighth.
+  // One of eight targets answers every call with an error within a millisecond,
+  // so it always has free slots. It may get less than a tenth of its eighth.
   PlaceRules rules;
   rules.patience_ms = 75;
   REQUIRE(ShareSentToFailing(rules, 1) > 0.125);
@@ -75,7 +74,7 @@
   PlaceRules rules;
   rules.patience_ms = 75;
   rules.error_ms = 300;
-  // None stands out by much then.
+  // Then no target stands out by much.
   REQUIRE(ShareSentToFailing(rules, 6) > 0.3);
 }
 
--- a/libs/control/tests/instance_tracker_test.cc
+++ b/libs/control/tests/instance_tracker_test.cc
@@ -2,8 +2,8 @@
 
 #include <catch2/catch.hpp>
 
-/// Instances that start again under the id that they had, and the late words of
-/// those before.
+/// Instances that restart under the same id, and late reports of earlier
+/// incarnations.
 namespace almondlink::control {
 namespace {
 
@@ -67,7 +67,8 @@
 TEST_CASE("a burst of held up reports does not bring an earlier start back") {
   InstanceTracker tracker;
   ApplyReport(Millis{0}, Report(2000, 1), tracker);
-  // The later start crashed; what a cut held back of the earlier one comes.
+  // The later incarnation crashed; reports of the earlier one that a partition
+  // had delayed arrive in a burst.
   for (std::uint64_t i = 1; i < 20; ++i) {
     REQUIRE(ApplyReport(Millis{9000 + static_cast<std::int64_t>(i)},
                         Report(1000, 40 + i),
@@ -87,7 +88,7 @@
           ReportEffect::kChanged);
   REQUIRE(tracker.current.incarnation.started_at == 3000);
   REQUIRE(tracker.phase == InstancePhase::kReady);
-  // What is late of the one with the later time is of the past now.
+  // A late report of the incarnation with the later start time is ignored now.
   REQUIRE(ApplyReport(Millis{4100}, Report(5000, 9), tracker) ==
           ReportEffect::kIgnored);
 }
@@ -104,7 +105,7 @@
 }
 
 TEST_CASE("a node that started between two starts is not misled") {
-  // Its peers remember only that the earlier start left.
+  // The peers remember only that the earlier incarnation left.
   InstanceTracker tracker;
   RestoreDeparted(Millis{0}, {"i-1", 1000}, tracker);
   REQUIRE(ApplyReport(Millis{1}, Report(1000, 9), tracker) ==
@@ -121,7 +122,7 @@
   ApplyReport(Millis{0}, Report(5000, 1, "living"), tracker);
   REQUIRE(ApplyReport(Millis{100}, Report(4000, 90, "gone"), tracker) ==
           ReportEffect::kIgnored);
-  // One that began later takes the place over.
+  // An instance that started later replaces it.
   REQUIRE(ApplyReport(Millis{200}, Report(6000, 1, "next"), tracker) ==
           ReportEffect::kChanged);
   REQUIRE(tracker.current.incarnation.id == "next");
@@ -136,7 +137,7 @@
   REQUIRE(ApplyReport(Millis{3}, Report(0, 6), tracker) ==
           ReportEffect::kRefreshed);
   REQUIRE(tracker.phase == InstancePhase::kLeaving);
-  // One that tells the time now is another start.
+  // A report with a start time belongs to another incarnation.
   REQUIRE(ApplyReport(Millis{4}, Report(2000, 1), tracker) ==
           ReportEffect::kChanged);
   REQUIRE(tracker.phase == InstancePhase::kReady);
--- a/libs/control/tests/link_silence_test.cc
+++ b/libs/control/tests/link_silence_test.cc
@@ -5,9 +5,9 @@
 namespace almondlink::control {
 namespace {
 
-/// Plays ticks of 100 ms from `start`; the time at which the node is suspect,
-/// or -1. The node answers a question after `answers_after`, if that is not
-/// negative.
+/// Simulates ticks of 100 ms from `start`. Returns the time at which the peer
+/// becomes suspect, or -1. The peer replies to a ping after `answers_after`,
+/// unless that is negative.
 std::int64_t SuspectAt(std::int64_t start,
                        std::int64_t until,
                        std::int64_t answers_after) {
@@ -46,7 +46,7 @@
 }
 
 TEST_CASE("a node that was idle is asked before it is suspect") {
-  // Pattern: its last word is up to a second old when the first call goes out.
+  // The last message is up to a second old when the first call is sent.
   for (std::int64_t silent = 300; silent <= 1000; silent += 100) {
     REQUIRE(SuspectAt(silent, silent + 5000, 20) == -1);
     REQUIRE(SuspectAt(silent, silent + 5000, -1) == silent + 400);
--- a/libs/control/tests/membership_test.cc
+++ b/libs/control/tests/membership_test.cc
@@ -62,7 +62,7 @@
   REQUIRE(SelfMember(membership).version == 2);
   REQUIRE(SelfMember(membership).state ==
           static_cast<std::uint32_t>(MemberState::kAlive));
-  // Others take the refutation although they held it failed.
+  // Others accept the refutation although they considered the node failed.
   Membership other = Start("other");
   MergeMember({}, MakeMember("me", 1, 1, MemberState::kFailed), Millis{0},
               other);
@@ -78,7 +78,7 @@
   REQUIRE(ExpireMembers(rules, Millis{3000}, membership).empty());
   REQUIRE(ExpireMembers(rules, Millis{3001}, membership) ==
           std::vector<std::string>{"x"});
-  // Old news of the dead incarnation does not bring it back.
+  // A stale update of the failed incarnation does not bring it back.
   REQUIRE_FALSE(MergeMember(rules, MakeMember("x", 5, 1, MemberState::kAlive),
                             Millis{3002}, membership)
                     .is_changed);
--- a/libs/control/tests/policy_source_test.cc
+++ b/libs/control/tests/policy_source_test.cc
@@ -3,13 +3,13 @@
 #include <algorithm>
 #include <catch2/catch.hpp>
 
-/// Who follows the source of the policy, and whom the others ask.
+/// Which nodes follow the policy source, and which node the others ask.
 namespace almondlink::control {
 namespace {
 
 const FollowRules kRules;
 
-/// Which of a zone's nodes follow, by whether each can read the source.
+/// Which nodes of a zone follow, given which of them can read the source.
 std::vector<bool> Followers(const std::vector<bool>& has_source) {
   std::vector<bool> follows;
   std::uint32_t before_with_source = 0;
@@ -28,7 +28,7 @@
 }
 
 TEST_CASE("a follower that cannot read the source is stood in for") {
-  // It goes on trying; it comes first again once it reads.
+  // It keeps trying, and takes its place again once it can read the source.
   const std::vector<bool> follows =
       Followers({false, true, true, true, true, true, true, true});
   REQUIRE(follows == std::vector<bool>{true, true, true, false, false, false,
--- a/libs/control/tests/quarantine_fleet.cc
+++ b/libs/control/tests/quarantine_fleet.cc
@@ -27,7 +27,7 @@
   this->events.emplace(at.count, std::move(action));
 }
 
-/// Carries a message, if both ends are in touch when it arrives.
+/// Delivers a message if both ends are connected when it arrives.
 void QuarantineFleet::Deliver(int from,
                               int to,
                               const std::function<void()>& action) {
@@ -66,7 +66,7 @@
   this->Schedule(at, [this, node]() { this->nodes[node].is_cut_off = true; });
   this->Schedule(at + span, [this, node]() {
     this->nodes[node].is_cut_off = false;
-    // Links are greeted anew: each side tells what it holds.
+    // When links are set up again, each side reports its records.
     for (int other = 0; other < this->spec.nodes; ++other) {
       for (const auto& [digest, record] : this->nodes[node].table.records) {
         this->Report(node, digest.high);
@@ -110,7 +110,7 @@
   }
 }
 
-/// Node 0 permits trials; a node that is cut off permits its own.
+/// Node 0 grants trials; a node that is cut off grants its own.
 int QuarantineFleet::TrialGranter(int node) const {
   return this->nodes[node].is_cut_off || this->nodes[0].is_cut_off ? node : 0;
 }
@@ -144,7 +144,7 @@
         this->now >= job.wait_until) {
       const bool has_target = decision.action == QuarantineAction::kRefuse ||
                               this->ChooseTarget(job.node, -1) >= 0;
-      // Without a target no request is served, whatever is known of it.
+      // Without a target no request is served, quarantined or not.
       ++(has_target ? this->CountsOf(job.content).refused
                     : this->CountsOf(job.content).without_target);
       this->jobs.erase(found);
@@ -214,7 +214,7 @@
       return;
     }
     if (!this->targets[target].is_up) {
-      // Turned back before the target.
+      // Refused before it reached the target.
       this->EndTrial(found->second);
       found->second.target = -1;
       --found->second.attempts;
@@ -265,7 +265,7 @@
   });
 }
 
-/// Tells all what the node knows of the content, or that it knows nothing.
+/// Reports the record of the content to all nodes, or that there is none.
 void QuarantineFleet::Report(int node, std::uint64_t content) {
   const RequestDigest digest = this->DigestOf(content);
   const QuarantineRecord* known =
--- a/libs/control/tests/quarantine_fleet.h
+++ b/libs/control/tests/quarantine_fleet.h
@@ -11,36 +11,36 @@
 #include "almondlink/control/quarantine.h"
 #include "almondlink/control/trial_registry.h"
 
-/// Nodes and the targets of one service in virtual time, with requests that end
-/// targets, and ends that no request is to blame for. News between nodes takes
-/// its time; nodes decide as entry nodes do.
+/// Simulates nodes and the targets of one service in virtual time, with
+/// requests that crash targets and crashes that no request causes. Messages
+/// between nodes take time; nodes decide as entry nodes do.
 namespace almondlink::control::test {
 
 struct FleetSpec {
   int nodes = 14;
-  /// The first so many nodes have a target of the service.
+  /// The first nodes, up to this number, have a target of the service.
   int targets = 4;
-  /// Time from node to node.
+  /// Latency of a message between nodes.
   Millis latency{2};
-  /// A run takes this long; a deadly one ends its target after as much.
+  /// Duration of a run; a deadly request crashes its target at the end of it.
   Millis run_time{90};
-  /// A target that ended is back after this.
+  /// Time until a crashed target is up again.
   Millis restart_time{3000};
   /// Targets that one attempt of a caller may be sent to.
   int attempts = 2;
-  /// A request waits so long for a trial.
+  /// Time for which a request waits for a trial.
   Millis trial_wait{600};
   std::uint32_t seed = 1;
 };
 
-/// What became of the requests that callers sent.
+/// Outcomes of the requests that callers sent.
 struct FleetCounts {
   int sent = 0;
   int completed = 0;
-  /// Not sent on because targets ended under the same request.
+  /// Refused because targets crashed under the same request.
   int refused = 0;
   int lost = 0;
-  /// No target was there.
+  /// No target was available.
   int without_target = 0;
 };
 
@@ -48,28 +48,29 @@
  public:
   explicit QuarantineFleet(const FleetSpec& spec);
 
-  /// A caller sends a request at a node, at a time. Contents below
-  /// kFirstInnocent end the targets that run them.
+  /// A caller sends a request to a node at a given time. Contents below
+  /// kFirstHarmless crash the targets that run them.
   void Send(Millis at, int node, std::uint64_t content);
   static constexpr std::uint64_t kFirstHarmless = 1'000'000;
 
-  /// A target ends by itself.
+  /// A target crashes for a reason of its own.
   void CrashTarget(Millis at, int target);
-  /// The node's links are down for a time: it hears and tells nothing, and its
-  /// callers reach its own target only.
+  /// The node's links are down for a time: it receives and reports nothing, and
+  /// its callers reach only its own target.
   void CutOff(Millis at, int node, Millis span);
-  /// The node starts anew and knows nothing; those that hold requests tell it.
+  /// The node restarts without its records; peers with quarantined requests
+  /// report them to it.
   void Restart(Millis at, int node);
 
   void RunUntil(Millis end);
 
   const FleetCounts& Harmless() const { return this->harmless; }
   const FleetCounts& Deadly() const { return this->deadly; }
-  /// Times at which targets began to run each deadly request, in order.
+  /// Times at which targets started to run each deadly request, in order.
   const std::vector<Millis>& RunsOf(std::uint64_t content) {
     return this->runs[content];
   }
-  /// Of these, how many were more than `after` later than the third end.
+  /// Number of these runs that started more than `after` after the third crash.
   int LateRuns(std::uint64_t content, Millis after);
   int Crashes() const { return this->crashes; }
 
--- a/libs/control/tests/quarantine_test.cc
+++ b/libs/control/tests/quarantine_test.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Millis kReportDelay{3000};
-/// Sends that may follow when the third target has long ended, by all nodes.
+/// Requests that all nodes together may still send well after the third crash.
 constexpr int kSendsLeft = 3;
 
 const QuarantineRules kRules;
@@ -61,13 +61,14 @@
   REQUIRE(RecordCompletedRun(kRules, Millis{1}, kDigest, table));
   REQUIRE(ActionOf(Millis{1}, table) == QuarantineAction::kAllow);
   REQUIRE_FALSE(RecordCompletedRun(kRules, Millis{2}, kDigest, table));
-  // While that is fresh, an end elsewhere is not laid to it.
+  // While the completed run is recent, a crash is not attributed to the
+  // request.
   REQUIRE_FALSE(
       RecordTargetCrash(kRules, Millis{3}, kDigest, {3, false}, table));
   const Millis later = Millis{1} + kRules.completed_run_validity;
   REQUIRE(RecordTargetCrash(kRules, later, kDigest, {4, false}, table));
   RecordCompletedRun(kRules, later, kDigest, table);
-  // Its runs go on; what is known of it ends with the ends of targets.
+  // Further completed runs do not extend the record beyond the last crash.
   RecordCompletedRun(kRules, later + kRules.cleared_retention, kDigest, table);
   ExpireQuarantine(kRules, later + kRules.cleared_retention, table);
   REQUIRE(HasRecordForPath(kDigest.path, table));
@@ -116,13 +117,13 @@
   REQUIRE(permit(1, Millis{0}) == "b");
   REQUIRE_FALSE(permit(1, Millis{0}).has_value());
   REQUIRE(permit(2, Millis{0}) == "c");
-  // The last target is left without a trial.
+  // The last target is kept free of trials.
   REQUIRE_FALSE(permit(3, Millis{0}).has_value());
   EndTrial({1, 0, 0}, registry);
   REQUIRE(permit(3, Millis{0}) == "b");
-  // Nobody waits for them any more.
+  // The earlier trials have expired.
   REQUIRE(permit(4, until).has_value());
-  // Where there is but one target it has to do.
+  // A service with a single target runs a trial on it.
   REQUIRE(PermitTrial(Millis{0}, {9, 0, 0}, "t", {{"d", 0}}, until, registry) ==
           "d");
   REQUIRE_FALSE(
@@ -130,7 +131,7 @@
           .has_value());
 }
 
-/// Requests of everybody else, a hundred different ones a second.
+/// One hundred distinct harmless requests per second.
 void SendOthers(QuarantineFleet& fleet, int nodes, Millis end) {
   for (std::int64_t at = 0; at < end.count; at += 10) {
     fleet.Send(
@@ -154,7 +155,8 @@
     REQUIRE(fleet.RunsOf(1).size() <= 3);
     REQUIRE(fleet.LateRuns(1, kReportDelay) <= kSendsLeft);
     REQUIRE(fleet.Harmless().refused == 0);
-    // What ran at the three targets that ended, and found no other one.
+    // The rest was running at the three targets that crashed, and no other
+    // target was available.
     REQUIRE(fleet.Harmless().completed >= fleet.Harmless().sent * 99 / 100);
   }
 }
@@ -212,8 +214,8 @@
   REQUIRE(fleet.LateRuns(1, kReportDelay) <= kSendsLeft);
 }
 
-/// One popular request that ends nothing, and others, while targets end for
-/// reasons of their own; the part of a ten-thousandth that is refused.
+/// Sends a popular harmless request and others while targets crash for other
+/// reasons; returns how many in ten thousand are refused.
 double RefusedPerTenThousand(
     std::uint32_t seed,
     const std::function<void(QuarantineFleet&)>& inject_crashes) {
@@ -257,7 +259,7 @@
         fleet.CrashTarget(Millis{2005 + i * 2500}, (i + 5) % 12);
       }
     });
-    // All end at once, as under memory.
+    // All targets crash at nearly the same time, as if out of memory.
     all += RefusedPerTenThousand(seed, [](QuarantineFleet& fleet) {
       for (int target = 0; target < 12; ++target) {
         fleet.CrashTarget(Millis{30'000 + target * 20}, target);
@@ -265,7 +267,7 @@
     });
   }
   CAPTURE(flapping / kSeeds, zone / kSeeds, part / kSeeds, all / kSeeds);
-  // The aim: fewer than one in ten thousand.
+  // Requirement: fewer than one in ten thousand.
   CHECK(flapping / kSeeds < 1);
   CHECK(zone / kSeeds < 1);
   CHECK(part / kSeeds < 1);
--- a/libs/control/tests/quota_lending_test.cc
+++ b/libs/control/tests/quota_lending_test.cc
@@ -11,12 +11,12 @@
 namespace {
 
 constexpr QuotaRules kRules;
-/// As many requests as a small and a large account ask for where both were
-/// seen: a seventh of a request per second and node, and seven.
+/// Limits of a small and a large account: about a seventh of a request per
+/// second and node, and about seven.
 constexpr QuotaLimit kSmall{16, 16};
 constexpr QuotaLimit kLarge{524, 524};
 
-// ---- the lender ----
+// ---- Lender ----
 
 TEST_CASE("a bucket lends what it has, and says when there is more") {
   QuotaBucket bucket =
@@ -25,7 +25,7 @@
   const QuotaLoan rest = Lend(kRules, kSmall, 1, Millis{60'000}, 10, bucket);
   REQUIRE(rest.granted == 6);
   REQUIRE(rest.next_request > Millis{0});
-  // The next caller comes after those four that were turned away.
+  // The next caller has to wait for the four that were refused before.
   const QuotaLoan none = Lend(kRules, kSmall, 1, Millis{60'000}, 1, bucket);
   REQUIRE(none.granted == 0);
   REQUIRE(none.wait >= Millis{4000 / 16});
@@ -39,7 +39,7 @@
   const double margin =
       kRules.over * (kLarge.per_s * 5 + kLarge.burst) + kRules.slack;
   REQUIRE(2 * bucket.bucket.tokens < margin);
-  // What was earned since it became the lender is there.
+  // The tokens earned since the node became the lender are added.
   const QuotaBucket later =
       StartBucket(kRules, kLarge, 1, Millis{5000}, Millis{5500});
   REQUIRE(later.bucket.tokens == Approx(bucket.bucket.tokens + 262));
@@ -61,14 +61,14 @@
   }
 }
 
-// ---- the borrower ----
+// ---- Borrower ----
 
 TEST_CASE("a token that was not used can be used again, but not much later") {
   QuotaBorrower borrower;
   const Millis now{10'000};
   REQUIRE(TakeQuota(now, borrower) == QuotaDecision::kRequestTokens);
   REQUIRE(TokensToRequest(now, 1, borrower) == 1);
-  // One ask at a time.
+  // Only one request to the lender is pending at a time.
   REQUIRE(TokensToRequest(now, 2, borrower) == 0);
   ApplyLoan(now, {1, Millis{0}, Millis{0}, true}, borrower);
   REQUIRE(TakeBorrowed(now, borrower));
@@ -89,7 +89,7 @@
   REQUIRE(TokensToRequest(now + Millis{50}, 1, borrower) == 0);
   REQUIRE(TakeQuota(now + Millis{100}, borrower) ==
           QuotaDecision::kRequestTokens);
-  // Where there will be a token at once the caller waits for it.
+  // If a token will be available shortly, the caller waits for it.
   ApplyLoan(now + Millis{100}, {0, Millis{20}, Millis{30}, false}, borrower);
   REQUIRE(TakeQuota(now + Millis{110}, borrower) ==
           QuotaDecision::kRequestTokens);
@@ -112,12 +112,12 @@
     now = now + Millis{1};
     taken += TakeFallback(now, borrower) ? 1 : 0;
   }
-  // 100 per second before: for two and a half seconds, and not for ever.
+  // 100 per second, as before, but only for two and a half seconds.
   REQUIRE(taken > 150);
   REQUIRE(taken <= 250);
 }
 
-// ---- all nodes together ----
+// ---- All nodes together ----
 
 QuotaPlan PlanOf(const QuotaLimit& limit, double demand, std::size_t nodes) {
   QuotaPlan plan;
@@ -153,7 +153,7 @@
   for (const QuotaLimit& limit : {kSmall, kLarge}) {
     const std::size_t nodes = 30;
     QuotaPlan plan = PlanOf(limit, 0, nodes);
-    // Every four seconds another fifth of the nodes has all of it.
+    // Every four seconds the demand moves to another fifth of the nodes.
     plan.demand = [&limit](Millis at, std::size_t node) {
       const auto turn = static_cast<std::size_t>(at.count / 4000);
       return node % 5 == turn % 5 ? 1.5 * limit.per_s / 6 : 0;
@@ -167,7 +167,7 @@
   }
 }
 
-/// Troubles of one run, drawn from its seed.
+/// Random faults of one run, drawn from its seed.
 struct Faults {
   std::mt19937 random;
   QuotaLimit limit;
@@ -230,7 +230,7 @@
   REQUIRE(Drive(world, *scheme, plan, 3).max_excess <= 0);
 }
 
-// ---- the ways that were weighed ----
+// ---- Comparison of ways to share a limit ----
 
 /// Run by hand: `test_control [ways]` prints the table of
 /// docs/design/accounts.md.
--- a/libs/control/tests/quota_network.cc
+++ b/libs/control/tests/quota_network.cc
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr double kMillisPerSecond = 1000;
-/// As nodes use them: libs/relay.
+/// The same values as in libs/relay.
 constexpr Millis kSettleTime{250};
 constexpr Millis kMaxTokenWait{100};
 constexpr Millis kSweep{50};
 constexpr Millis kReportInterval{300};
 constexpr Millis kSuspensionTime{600};
-/// One way between two nodes, in milliseconds.
+/// One-way latency between two nodes in milliseconds.
 constexpr std::int64_t kMinDelay = 1;
 constexpr std::int64_t kMaxDelayMs = 3;
 
@@ -91,7 +91,8 @@
   }
 
  private:
-  /// The demand told last, of silent nodes too, and an equal rest.
+  /// The share of the node by the last reported demand, including that of
+  /// silent nodes, with an equal base share for each.
   double ShareOf(std::size_t node) const {
     const double rest =
         0.1 * this->world.limit.per_s / static_cast<double>(this->world.nodes);
@@ -387,7 +388,7 @@
   for (std::size_t ms = 0; ms < length; ++ms) {
     sum += admitted[ms];
     sum -= ms >= window ? admitted[ms - window] : 0;
-    // The most that was allowed at any time of the window.
+    // The larger of the limits at both ends of the window.
     const std::size_t first = ms >= window ? ms - window : 0;
     const QuotaLimit now_limit =
         plan.limit(Millis{static_cast<std::int64_t>(ms)});
--- a/libs/control/tests/repeat_allowance_test.cc
+++ b/libs/control/tests/repeat_allowance_test.cc
@@ -6,8 +6,8 @@
 #include <random>
 #include <vector>
 
-/// The bound on repeats over many nodes, counted from outside as operators
-/// count it: in any window, by arrivals.
+/// Checks the bound on repeats over many nodes as operators count it from
+/// outside: in any window, by arrivals.
 namespace almondlink::control {
 namespace {
 
@@ -20,19 +20,19 @@
   RepeatAllowance allowance;
   std::int64_t started = -20'000;
   bool has_restored_counts = false;
-  /// Its clock against the others'.
+  /// Offset of its clock.
   std::int64_t offset = 0;
   RepeatCounts reported;
 };
 
-/// Requests a second for one service at a node, and the part refused.
+/// Requests per second for one service at a node, and the share refused.
 struct Load {
   double per_s = 0;
   double refused = 0;
 };
 
 struct Outcome {
-  /// Arrivals by millisecond: requests, and those beyond the first of each.
+  /// Arrivals per millisecond: first attempts, and repeats.
   std::vector<int> requests = std::vector<int>(kEnd);
   std::vector<int> repeats = std::vector<int>(kEnd);
   int completed = 0;
@@ -46,7 +46,7 @@
     }
     return sum;
   }
-  /// Repeats over the bound, in the worst window; at most 1 if it is kept.
+  /// Ratio of repeats to the bound in the worst window; at most 1 if it holds.
   double WorstRatio(const RepeatRules& rules, std::int64_t step = 50) const {
     double worst = 0;
     for (std::int64_t end = 1000; end <= kEnd; end += step) {
@@ -69,9 +69,9 @@
   return rules;
 }
 
-/// Plays all nodes, millisecond by millisecond. `load_of(node, now)`;
-/// `restarts(node, now)`: the node starts anew in this millisecond, and learns
-/// what it told before if `has_peers`.
+/// Simulates all nodes, millisecond by millisecond. `load_of(node, now)`: the
+/// load of a node. `restarts(node, now)`: whether the node restarts in this
+/// millisecond; it restores its last reported counts if `has_peers`.
 template <typename LoadOf, typename Restarts>
 Outcome Simulate(const LoadOf& load_of,
                  const Restarts& restarts,
@@ -141,8 +141,8 @@
 }
 
 TEST_CASE("repeats of many nodes use most of the bound and keep it") {
-  // Pattern: all targets of a service refuse half for 8 s, and fewer requests
-  // come meanwhile, since chains of calls die early.
+  // All targets of a service refuse half of the calls for 8 s, and fewer
+  // requests arrive meanwhile because call chains are cut short.
   const auto load = [](int node, std::int64_t now) {
     const bool is_short = now >= 15'000 && now < 23'000;
     const double share = node < 3 ? 1.0 : 0.1;
@@ -163,7 +163,7 @@
 }
 
 TEST_CASE("the bound holds while load moves from node to node") {
-  // Each node had most of its requests in another window than the others.
+  // Each node has most of its requests in a different window.
   const auto load = [](int node, std::int64_t now) {
     const std::int64_t turn = now / 5000 % 3;
     return Load{node % 3 == turn ? 300.0 : 30.0, now > 5000 ? 0.6 : 0.0};
@@ -182,7 +182,7 @@
 }
 
 TEST_CASE("the bound holds when all nodes are lost at once") {
-  // Nobody remembers what was sent before.
+  // No peer holds the counts of what was sent before.
   const auto load = [](int /*node*/, std::int64_t now) {
     return Load{100, now > 8000 ? 0.5 : 0.0};
   };
--- a/libs/control/tests/retry_test.cc
+++ b/libs/control/tests/retry_test.cc
@@ -10,8 +10,8 @@
 namespace almondlink::control {
 namespace {
 
-/// Plays a random call tree in which every attempt may fail or lose its answer
-/// and every holder repeats as often as it may. Counts attempts.
+/// Simulates a random call tree in which every attempt may fail or lose its
+/// answer and every holder retries as often as it may. Counts the attempts.
 struct CallTree {
   std::mt19937_64 random;
   double failure = 0.5;
@@ -23,7 +23,7 @@
     return std::uniform_real_distribution<double>(0, 1)(this->random) < share;
   }
 
-  /// One call with what its holder has; returns whether it succeeded.
+  /// One call made with the holder's grant; returns whether it succeeded.
   bool Call(RetryGrant& holder, int depth) {
     ++this->first_attempts;
     while (true) {
@@ -116,7 +116,7 @@
   for (std::uint64_t hash = 100; hash < 110; ++hash) {
     table.NoteFailure(*span, hash);
   }
-  // The memory is full: everything counts as a repeat.
+  // The table is full: everything counts as a repeat.
   REQUIRE(table.IsRepeat(*span, 4711));
 }
 
--- a/libs/control/tests/token_bucket_test.cc
+++ b/libs/control/tests/token_bucket_test.cc
@@ -13,7 +13,7 @@
       taken += TakeToken(100, Millis{ms}, limit) ? 1 : 0;
     }
   }
-  // Ten seconds' worth and the burst.
+  // What ten seconds earn, and the burst.
   REQUIRE(taken >= 1090);
   REQUIRE(taken <= 1100);
 }
