--- a/libs/control/tests/answer_match_test.cc
+++ b/libs/control/tests/answer_match_test.cc
@@ -11,7 +11,7 @@
 constexpr ConnectionTrust kReused{false, false};
 constexpr ConnectionTrust kIdOptional{false, true};
 
-TEST_CASE("on a connection used before only the own id is delivered") {
+TEST_CASE("on a reused connection only the matching id is delivered") {
   CHECK(ActionForAnswer(kReused, AnswerId::kMatching) ==
         AnswerAction::kDeliver);
   CHECK(ActionForAnswer(kReused, AnswerId::kMismatching) ==
@@ -19,7 +19,7 @@
   CHECK(ActionForAnswer(kReused, AnswerId::kMissing) == AnswerAction::kReject);
 }
 
-TEST_CASE("a fresh connection cannot hold another request's answer") {
+TEST_CASE("a new connection cannot hold another request's answer") {
   CHECK(ActionForAnswer(kFirstRequest, AnswerId::kMatching) ==
         AnswerAction::kDeliver);
   CHECK(ActionForAnswer(kFirstRequest, AnswerId::kMissing) ==
@@ -28,7 +28,7 @@
         AnswerAction::kReject);
 }
 
-TEST_CASE("only an answer with the own id keeps the connection") {
+TEST_CASE("only an answer with the matching id keeps the connection") {
   for (const ConnectionTrust& trust : {kFirstRequest, kReused}) {
     CHECK(MayReuseConnection(trust, AnswerId::kMatching));
     CHECK_FALSE(MayReuseConnection(trust, AnswerId::kMissing));
@@ -36,8 +36,7 @@
   }
 }
 
-TEST_CASE(
-    "an operator may vouch for a target without ids, not for wrong ones") {
+TEST_CASE("the operator can make ids optional, but not allow wrong ones") {
   CHECK(ActionForAnswer(kIdOptional, AnswerId::kMissing) ==
         AnswerAction::kDeliver);
   CHECK(MayReuseConnection(kIdOptional, AnswerId::kMissing));
--- a/libs/control/tests/claims_test.cc
+++ b/libs/control/tests/claims_test.cc
@@ -18,7 +18,7 @@
   return batch;
 }
 
-TEST_CASE("the claim at the lowest offset wins for ever") {
+TEST_CASE("the claim at the lowest offset wins permanently") {
   Claims claims;
   ApplyClaims(0, Batch("a/1", "a", {"k"}), Millis{0}, claims);
   ApplyClaims(1, Batch("b/1", "b", {"k", "l"}), Millis{1}, claims);
@@ -46,7 +46,7 @@
   REQUIRE(CanDecide(Millis{50'000} + kMaxClockSkew, claims));
 }
 
-TEST_CASE("claims are forgotten only after their age") {
+TEST_CASE("claims expire only after their age") {
   Claims claims;
   ApplyClaims(0, Batch("a/1", "a", {"k"}), Millis{0}, claims);
   ExpireClaims(Millis{100}, Millis{100}, claims);
@@ -92,7 +92,7 @@
   REQUIRE_FALSE(entry->has_answer);
 }
 
-TEST_CASE("UUID version 7 tells when a key was made") {
+TEST_CASE("a UUID version 7 holds the creation time of a key") {
   const Millis created_at{1'700'000'000'123};
   const std::string key =
       MakeUuid7(created_at, 0x1234567890abcdef, 0xfedcba0987654321);
@@ -109,7 +109,7 @@
                       Millis{10}) == ErrorKind::kKeyExpired);
 }
 
-TEST_CASE("minted keys go there and back, also with dots in the node id") {
+TEST_CASE("minted keys round-trip, also with dots in the node id") {
   MintedKey key;
   key.node = NodeId("host.1.zone");
   key.incarnation = Incarnation(99);
--- a/libs/control/tests/error_rate_test.cc
+++ b/libs/control/tests/error_rate_test.cc
@@ -9,7 +9,8 @@
 namespace almondlink::control {
 namespace {
 
-TEST_CASE("errors are known after a few answers, and doubted after a while") {
+TEST_CASE(
+    "the error rate rises within a few answers and decays without answers") {
   ErrorRate errors;
   for (int i = 0; i < 20; ++i) {
     UpdateErrorRate(Millis{1000}, true, errors);
@@ -60,7 +61,7 @@
   return static_cast<double>(sent) / kCalls;
 }
 
-TEST_CASE("a target that fails at once does not draw the load") {
+TEST_CASE("a target that fails immediately does not attract the load") {
   // One of eight targets answers every call with an error within a millisecond,
   // so it always has free slots. It may get less than a tenth of its eighth.
   PlaceRules rules;
@@ -70,7 +71,7 @@
   REQUIRE(ShareSentToFailing(rules, 1) < 0.0125);
 }
 
-TEST_CASE("where most targets err, the load is not heaped on the others") {
+TEST_CASE("where most targets fail, the others do not get all the load") {
   PlaceRules rules;
   rules.patience_ms = 75;
   rules.error_ms = 300;
--- a/libs/control/tests/instance_tracker_test.cc
+++ b/libs/control/tests/instance_tracker_test.cc
@@ -18,7 +18,8 @@
   return report;
 }
 
-TEST_CASE("an instance that starts again under its id counts from anew") {
+TEST_CASE(
+    "an instance that restarts under its id starts without earlier state") {
   InstanceTracker tracker;
   ApplyReport(Millis{0}, Report(1000, 90), tracker);
   InstanceReport restarted = Report(2000, 1);
@@ -32,7 +33,7 @@
           ReportEffect::kChanged);
 }
 
-TEST_CASE("one that left is ready again after it started again") {
+TEST_CASE("an instance that left is ready again after a restart") {
   InstanceTracker tracker;
   ApplyReport(Millis{0}, Report(1000, 9), tracker);
   REQUIRE(ApplyLeave(Millis{5}, {"i-1", 1000}, tracker) ==
@@ -46,7 +47,7 @@
   REQUIRE(tracker.departed.count({"i-1", 1000}) == 1);
 }
 
-TEST_CASE("late words of the start before change nothing") {
+TEST_CASE("late reports of the previous incarnation have no effect") {
   InstanceTracker tracker;
   ApplyReport(Millis{0}, Report(1000, 9), tracker);
   ApplyReport(Millis{1}, Report(2000, 1), tracker);
@@ -64,7 +65,8 @@
   REQUIRE(tracker.departed.count({"i-1", 1000}) == 1);
 }
 
-TEST_CASE("a burst of held up reports does not bring an earlier start back") {
+TEST_CASE(
+    "a burst of delayed reports does not restore an earlier incarnation") {
   InstanceTracker tracker;
   ApplyReport(Millis{0}, Report(2000, 1), tracker);
   // The later incarnation crashed; reports of the earlier one that a partition
@@ -77,7 +79,9 @@
   REQUIRE(tracker.current.incarnation.started_at == 2000);
 }
 
-TEST_CASE("a restart after the clock went back is believed when it goes on") {
+TEST_CASE(
+    "a restart after the clock was set back is accepted once it keeps "
+    "reporting") {
   InstanceTracker tracker;
   ApplyReport(Millis{0}, Report(5000, 9), tracker);
   REQUIRE(ApplyReport(Millis{1000}, Report(3000, 1), tracker) ==
@@ -93,7 +97,7 @@
           ReportEffect::kIgnored);
 }
 
-TEST_CASE("the living start is not replaced while it reports") {
+TEST_CASE("the running incarnation is not replaced while it reports") {
   InstanceTracker tracker;
   for (std::uint64_t i = 0; i < 10; ++i) {
     const Millis now{static_cast<std::int64_t>(i) * 1500};
@@ -104,7 +108,8 @@
   REQUIRE(tracker.current.incarnation.started_at == 5000);
 }
 
-TEST_CASE("a node that started between two starts is not misled") {
+TEST_CASE(
+    "a node that started between two incarnations accepts the later one") {
   // The peers remember only that the earlier incarnation left.
   InstanceTracker tracker;
   RestoreDeparted(Millis{0}, {"i-1", 1000}, tracker);
@@ -116,8 +121,7 @@
   REQUIRE(tracker.phase == InstancePhase::kReady);
 }
 
-TEST_CASE(
-    "a late report of another instance that began before is passed over") {
+TEST_CASE("a late report of an instance that started earlier is ignored") {
   InstanceTracker tracker;
   ApplyReport(Millis{0}, Report(5000, 1, "living"), tracker);
   REQUIRE(ApplyReport(Millis{100}, Report(4000, 90, "gone"), tracker) ==
@@ -128,7 +132,7 @@
   REQUIRE(tracker.current.incarnation.id == "next");
 }
 
-TEST_CASE("reports without the time of their start go on as before") {
+TEST_CASE("reports without a start time count for the current incarnation") {
   InstanceTracker tracker;
   ApplyReport(Millis{0}, Report(0, 5), tracker);
   REQUIRE(ApplyReport(Millis{1}, Report(0, 4), tracker) ==
@@ -146,7 +150,7 @@
   REQUIRE(tracker.current.incarnation.started_at == 2000);
 }
 
-TEST_CASE("a leave of a later start ends the one that is known") {
+TEST_CASE("a leave of a later incarnation makes the known one leave") {
   InstanceTracker tracker;
   ApplyReport(Millis{0}, Report(1000, 5), tracker);
   REQUIRE(ApplyLeave(Millis{1}, {"i-1", 2000}, tracker) ==
@@ -156,7 +160,7 @@
   REQUIRE(tracker.phase == InstancePhase::kLeaving);
 }
 
-TEST_CASE("a start does not change its service") {
+TEST_CASE("an incarnation cannot change its service") {
   InstanceTracker tracker;
   ApplyReport(Millis{0}, Report(1000, 5), tracker);
   InstanceReport other = Report(1000, 6);
@@ -166,7 +170,8 @@
   REQUIRE(tracker.current.sequence == 5);
 }
 
-TEST_CASE("an instance that reported elsewhere before may be older") {
+TEST_CASE(
+    "an instance that reported elsewhere before may be older than the node") {
   InstanceTracker tracker;
   REQUIRE(MayBeOlderThanNode(tracker));
   InstanceReport report;
--- a/libs/control/tests/link_silence_test.cc
+++ b/libs/control/tests/link_silence_test.cc
@@ -41,11 +41,11 @@
   return -1;
 }
 
-TEST_CASE("a node that says nothing is suspect 0.7 s after its last word") {
+TEST_CASE("a silent peer is suspect 0.7 s after its last message") {
   REQUIRE(SuspectAt(0, 5000, -1) == 700);
 }
 
-TEST_CASE("a node that was idle is asked before it is suspect") {
+TEST_CASE("an idle peer is pinged before it is suspect") {
   // The last message is up to a second old when the first call is sent.
   for (std::int64_t silent = 300; silent <= 1000; silent += 100) {
     REQUIRE(SuspectAt(silent, silent + 5000, 20) == -1);
@@ -53,7 +53,7 @@
   }
 }
 
-TEST_CASE("without calls out nobody is asked") {
+TEST_CASE("a peer is not pinged while no call waits") {
   LinkSilence link;
   link.now = Millis{5000};
   REQUIRE(EvaluateSilence(link) == SilenceAction::kNothing);
--- a/libs/control/tests/membership_test.cc
+++ b/libs/control/tests/membership_test.cc
@@ -28,7 +28,7 @@
   return membership;
 }
 
-TEST_CASE("news in any order and twice ends at the same table") {
+TEST_CASE("updates in any order and repeated converge to the same table") {
   std::vector<wire::Member> news;
   for (std::uint64_t incarnation = 1; incarnation <= 2; ++incarnation) {
     for (std::uint64_t version = 1; version <= 3; ++version) {
@@ -54,7 +54,7 @@
   }
 }
 
-TEST_CASE("a paused node that wakes refutes what was said of it") {
+TEST_CASE("a resumed node refutes that it failed") {
   Membership membership = Start("me");
   const MergeResult result = MergeMember(
       {}, MakeMember("me", 1, 1, MemberState::kFailed), Millis{0}, membership);
@@ -69,7 +69,8 @@
   REQUIRE(MergeMember({}, SelfMember(membership), Millis{0}, other).is_changed);
 }
 
-TEST_CASE("a suspect fails in time, a restart under the same id comes back") {
+TEST_CASE(
+    "a suspect fails after its timeout, a restart under the same id rejoins") {
   const MembershipRules rules;
   Membership membership = Start("me");
   MergeMember(rules, MakeMember("x", 5, 1, MemberState::kAlive), Millis{0},
@@ -108,7 +109,7 @@
   }
 }
 
-TEST_CASE("news reaches a whole group in a few rounds, also with loss") {
+TEST_CASE("an update reaches all members in a few rounds, also with loss") {
   constexpr int kNodes = 100;
   std::mt19937_64 random(11);
   std::uniform_real_distribution<double> draw(0, 1);
--- a/libs/control/tests/policy_source_test.cc
+++ b/libs/control/tests/policy_source_test.cc
@@ -27,7 +27,7 @@
   REQUIRE(follows[1]);
 }
 
-TEST_CASE("a follower that cannot read the source is stood in for") {
+TEST_CASE("a follower that cannot read the source is replaced") {
   // It keeps trying, and takes its place again once it can read the source.
   const std::vector<bool> follows =
       Followers({false, true, true, true, true, true, true, true});
@@ -35,23 +35,24 @@
                                        false, false});
 }
 
-TEST_CASE("while the source is away for all, a few of a zone try") {
+TEST_CASE("while no node can read the source, a few of a zone try") {
   const std::vector<bool> follows = Followers(std::vector<bool>(20, false));
   REQUIRE(std::count(follows.begin(), follows.end(), true) == 6);
 }
 
-TEST_CASE("a node without others follows by itself") {
+TEST_CASE("a node without peers follows the source itself") {
   REQUIRE(FollowsSource(kRules, 0, 0));
 }
 
-TEST_CASE("a node that is behind asks its own zone first") {
+TEST_CASE("a node with an old version asks its own zone first") {
   const std::vector<PolicyOffer> offers = {
       {7, false, false}, {7, true, false}, {6, true, false}};
   REQUIRE(ChooseOffer(kRules, 6, offers, Millis{0}, 0.0) == 1U);
   REQUIRE(ChooseOffer(kRules, 6, offers, Millis{0}, 0.99) == 1U);
 }
 
-TEST_CASE("another zone is asked when the own one has not got it by then") {
+TEST_CASE(
+    "another zone is asked if the own one lacks the version after a delay") {
   const std::vector<PolicyOffer> offers = {{7, false, false}, {6, true, false}};
   REQUIRE_FALSE(ChooseOffer(kRules, 6, offers, Millis{149}, 0.5).has_value());
   REQUIRE(ChooseOffer(kRules, 6, offers, Millis{150}, 0.5) == 0U);
@@ -72,7 +73,7 @@
   REQUIRE(ChooseOffer(kRules, 7, offers, Millis{200}, 0.5) == 1U);
 }
 
-TEST_CASE("a node that was asked in vain is passed over") {
+TEST_CASE("a node that was asked without success is skipped") {
   const std::vector<PolicyOffer> offers = {
       {7, true, true}, {7, true, false}, {7, false, false}};
   REQUIRE(ChooseOffer(kRules, 6, offers, Millis{0}, 0.0) == 1U);
--- a/libs/control/tests/quarantine_test.cc
+++ b/libs/control/tests/quarantine_test.cc
@@ -19,7 +19,8 @@
   return DecideQuarantine(kRules, now, kDigest, table).action;
 }
 
-TEST_CASE("one end leaves a request free, each start counts once") {
+TEST_CASE(
+    "one crash does not quarantine a request, each incarnation counts once") {
   QuarantineTable table;
   REQUIRE(ActionOf(Millis{0}, table) == QuarantineAction::kAllow);
   REQUIRE(RecordTargetCrash(kRules, Millis{10}, kDigest, {7, false}, table));
@@ -32,7 +33,9 @@
               .action == QuarantineAction::kAllow);
 }
 
-TEST_CASE("a trial that ends its target holds the request, at growing length") {
+TEST_CASE(
+    "a trial that crashes its target refuses the request, with growing "
+    "retention") {
   QuarantineTable table;
   RecordTargetCrash(kRules, Millis{0}, kDigest, {1, false}, table);
   RecordTargetCrash(kRules, Millis{0}, kDigest, {2, false}, table);
@@ -53,7 +56,7 @@
   REQUIRE(FindQuarantine(kDigest, table) == nullptr);
 }
 
-TEST_CASE("a whole run lets it go at once") {
+TEST_CASE("a completed run clears the record at once") {
   QuarantineTable table;
   REQUIRE_FALSE(RecordCompletedRun(kRules, Millis{0}, kDigest, table));
   RecordTargetCrash(kRules, Millis{0}, kDigest, {1, false}, table);
@@ -76,7 +79,7 @@
   REQUIRE_FALSE(HasRecordForPath(kDigest.path, table));
 }
 
-TEST_CASE("what two nodes know is put together, whoever hears it first") {
+TEST_CASE("records of two nodes merge alike in either order") {
   QuarantineTable a;
   QuarantineTable b;
   RecordTargetCrash(kRules, Millis{5}, kDigest, {1, false}, a);
@@ -92,7 +95,7 @@
   }
 }
 
-TEST_CASE("a full table forgets what matters least") {
+TEST_CASE("a full table evicts the least incriminated record") {
   QuarantineRules rules;
   rules.max_records = 3;
   QuarantineTable table;
@@ -140,7 +143,9 @@
   }
 }
 
-TEST_CASE("a request in series at any node ends three targets, others go on") {
+TEST_CASE(
+    "a query of death sent in series crashes three targets, others are "
+    "served") {
   for (const int nodes : {4, 14, 100}) {
     FleetSpec spec;
     spec.nodes = nodes;
@@ -161,7 +166,7 @@
   }
 }
 
-TEST_CASE("the same request at all nodes at once, again and again") {
+TEST_CASE("a query of death sent to all nodes at once, repeatedly") {
   for (const int nodes : {4, 14, 100}) {
     FleetSpec spec;
     spec.nodes = nodes;
@@ -178,7 +183,7 @@
   }
 }
 
-TEST_CASE("ten different such requests, each in series") {
+TEST_CASE("ten different queries of death, each in series") {
   FleetSpec spec;
   spec.targets = 10;
   QuarantineFleet fleet(spec);
@@ -198,7 +203,8 @@
   REQUIRE(fleet.Harmless().refused * 100 <= fleet.Harmless().sent);
 }
 
-TEST_CASE("nodes that are cut off or start anew do not begin from nothing") {
+TEST_CASE(
+    "nodes that were cut off or restarted learn the records of their peers") {
   FleetSpec spec;
   QuarantineFleet fleet(spec);
   fleet.CutOff(Millis{1200}, 5, Millis{6000});
@@ -235,7 +241,7 @@
   return 10'000.0 * fleet.Harmless().refused / fleet.Harmless().sent;
 }
 
-TEST_CASE("innocent requests are not refused for ends of other causes") {
+TEST_CASE("harmless requests are not refused for crashes of other causes") {
   constexpr int kSeeds = 10;
   double flapping = 0;
   double zone = 0;
--- a/libs/control/tests/quota_lending_test.cc
+++ b/libs/control/tests/quota_lending_test.cc
@@ -18,7 +18,7 @@
 
 // ---- Lender ----
 
-TEST_CASE("a bucket lends what it has, and says when there is more") {
+TEST_CASE("a bucket lends what it has and reports when there is more") {
   QuotaBucket bucket =
       StartBucket(kRules, kSmall, 1, Millis{0}, Millis{60'000});
   REQUIRE(Lend(kRules, kSmall, 1, Millis{60'000}, 10, bucket).granted == 10);
@@ -32,7 +32,7 @@
   REQUIRE(Lend(kRules, kSmall, 1, Millis{61'000}, 20, bucket).granted == 16);
 }
 
-TEST_CASE("a fresh lender's bucket holds next to nothing") {
+TEST_CASE("the bucket of a new lender is almost empty") {
   const QuotaBucket bucket =
       StartBucket(kRules, kLarge, 1, Millis{5000}, Millis{5000});
   REQUIRE(bucket.bucket.tokens == InitialTokens(kRules, kLarge));
@@ -45,12 +45,12 @@
   REQUIRE(later.bucket.tokens == Approx(bucket.bucket.tokens + 262));
 }
 
-TEST_CASE("a lowered limit takes what is beyond its burst away") {
+TEST_CASE("a lowered limit discards tokens beyond its burst") {
   QuotaBucket bucket = StartBucket(kRules, kLarge, 1, Millis{0}, Millis{9000});
   REQUIRE(Lend(kRules, kSmall, 1, Millis{9000}, 1000, bucket).granted <= 16);
 }
 
-TEST_CASE("both sides of a cut together lend no more than the whole") {
+TEST_CASE("both sides of a partition together lend no more than the limit") {
   for (std::uint32_t all = 1; all <= 100; ++all) {
     for (std::uint32_t side = 1; side < all; ++side) {
       const double sum =
@@ -79,7 +79,7 @@
           QuotaDecision::kRequestTokens);
 }
 
-TEST_CASE("an account that is over its limit is told so without asking") {
+TEST_CASE("an account over its limit is refused without asking the lender") {
   QuotaBorrower borrower;
   const Millis now{10'000};
   REQUIRE(TakeQuota(now, borrower) == QuotaDecision::kRequestTokens);
@@ -95,7 +95,8 @@
           QuotaDecision::kRequestTokens);
 }
 
-TEST_CASE("while the lender is silent a node goes on by what it was lent") {
+TEST_CASE(
+    "while the lender is silent a node continues at the rate lent to it") {
   QuotaBorrower borrower;
   Millis now{10'000};
   for (int i = 0; i < 200; ++i) {
@@ -128,7 +129,8 @@
   return plan;
 }
 
-TEST_CASE("below its limit an account is not refused, above it gets it all") {
+TEST_CASE(
+    "an account below its limit is not refused, above it gets all of it") {
   for (const QuotaLimit& limit : {kSmall, kLarge}) {
     for (const std::size_t nodes : {3, 30, 82}) {
       CAPTURE(limit.per_s, nodes);
--- a/libs/control/tests/repeat_allowance_test.cc
+++ b/libs/control/tests/repeat_allowance_test.cc
@@ -154,7 +154,7 @@
   REQUIRE(used > 0.8);
 }
 
-TEST_CASE("the bound holds while all is refused for long") {
+TEST_CASE("the bound holds while most is refused for long") {
   const auto load = [](int /*node*/, std::int64_t now) {
     const double swing = 1 + 0.5 * std::sin(static_cast<double>(now) / 2000);
     return Load{60 * swing, now > 3000 ? 0.8 : 0.0};
@@ -171,7 +171,7 @@
   REQUIRE(Simulate(load, NoRestarts).WorstRatio(Rules()) <= 1);
 }
 
-TEST_CASE("the bound holds while nodes start anew") {
+TEST_CASE("the bound holds while nodes restart") {
   const auto load = [](int /*node*/, std::int64_t now) {
     return Load{100, now > 8000 ? 0.5 : 0.0};
   };
@@ -181,7 +181,7 @@
   REQUIRE(Simulate(load, restarts).WorstRatio(Rules()) <= 1);
 }
 
-TEST_CASE("the bound holds when all nodes are lost at once") {
+TEST_CASE("the bound holds when all nodes restart at once") {
   // No peer holds the counts of what was sent before.
   const auto load = [](int /*node*/, std::int64_t now) {
     return Load{100, now > 8000 ? 0.5 : 0.0};
--- a/libs/control/tests/retry_test.cc
+++ b/libs/control/tests/retry_test.cc
@@ -106,7 +106,7 @@
   REQUIRE(table.Begin(WorkContext{}, 0).has_value());
 }
 
-TEST_CASE("a service's own repeat of a failed call is told apart") {
+TEST_CASE("a service's own repeat of a failed call is recognized") {
   WorkTable table(8, 1);
   const std::optional<SpanId> span = table.Begin(WorkContext{}, 1);
   REQUIRE_FALSE(table.IsRepeat(*span, 77));
@@ -137,7 +137,7 @@
   REQUIRE(DecideRetry(failed) == RetryChoice::kRetry);
 }
 
-TEST_CASE("a caller that comes back when told to is not a repeat") {
+TEST_CASE("a caller that follows Retry-After is not an early repeat") {
   CallerRepeats repeats = MakeCallerRepeats(64);
   RecordFailedRequest(Millis{1000}, 5, Millis{200}, false, repeats);
   REQUIRE(IsEarlyRepeat(Millis{1100}, 5, repeats));
--- a/libs/control/tests/token_bucket_test.cc
+++ b/libs/control/tests/token_bucket_test.cc
@@ -18,7 +18,7 @@
   REQUIRE(taken <= 1100);
 }
 
-TEST_CASE("a quiet source saves up one second at most") {
+TEST_CASE("an idle source accumulates at most one second of tokens") {
   TokenBucket limit;
   REQUIRE(TakeToken(2, Millis{0}, limit));
   REQUIRE(TakeToken(2, Millis{60'000}, limit));
