--- a/libs/control/include/almondlink/control/link_silence.h
+++ b/libs/control/include/almondlink/control/link_silence.h
@@ -5,37 +5,38 @@
 
 #include "almondlink/base/clock.h"
 
-/// When a node that says nothing on an open link is suspect.
+/// Failure detection for a peer that is silent on an open link.
 ///
-/// An idle node tells its state once a second, so silence alone says little: a
-/// link may have been silent for most of a second when the first call goes out.
-/// The node is asked first, and only a question that stays without any word for
-/// a while makes it suspect.
+/// An idle node reports its state once a second, so silence alone proves
+/// little: a link may have been silent for most of a second when the first call
+/// is sent. The peer is pinged first, and becomes suspect only if nothing
+/// arrives for a while after the ping.
 namespace almondlink::control {
 
-/// What one end knows of a link.
+/// What one end knows about a link.
 struct LinkSilence {
   Millis now;
-  /// When anything came from the other end last.
-  Millis heard;
-  /// When the other end was asked last; any time before `heard` if never since.
-  Millis asked;
-  /// When it was asked first of the questions that nothing came after.
-  Millis first_asked;
+  /// When anything last arrived from the peer.
+  Millis last_received;
+  /// When the peer was last pinged; any time before `last_received` if not
+  /// since then.
+  Millis last_ping;
+  /// When the first ping was sent that nothing has arrived after.
+  Millis first_unanswered_ping;
   /// Calls that wait for an answer on the link.
-  std::uint32_t calls_out = 0;
+  std::uint32_t waiting_calls = 0;
 };
 
-enum class SilenceStep {
+enum class SilenceAction {
   kNothing,
-  /// Ask for a sign of life.
-  kAsk,
-  /// It may stand still, or the way is cut.
+  /// Send a ping.
+  kPing,
+  /// The peer may hang, or the connection is cut.
   kSuspect,
 };
 
-/// What to do now. Pure.
-SilenceStep StepOnSilence(const LinkSilence& link);
+/// Decides what to do now. Pure.
+SilenceAction EvaluateSilence(const LinkSilence& link);
 
 }  // namespace almondlink::control
 
--- a/libs/control/include/almondlink/control/placement.h
+++ b/libs/control/include/almondlink/control/placement.h
@@ -40,7 +40,7 @@
   double work_ms = 0;
   TargetHealth health;
   /// Fraction of the target's answers that are failures of its own, see
-  /// error_share.h.
+  /// error_rate.h.
   double error_rate = 0;
 };
 
--- a/libs/control/src/chain_admission.cc
+++ b/libs/control/src/chain_admission.cc
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <iterator>
 
-#include "almondlink/control/error_share.h"
+#include "almondlink/control/error_rate.h"
 
 namespace almondlink::control {
 
@@ -113,8 +113,8 @@
         is_known ? std::min(kMaxRelativeSpeed, mean_work_ms / target.work_ms)
                  : 1;
     const double excess_errors =
-        ErrorsOver(target.error_rate,
-                   (total_error_rate - target.error_rate) / other_targets);
+        ExcessErrorRate(target.error_rate,
+                        (total_error_rate - target.error_rate) / other_targets);
     const double usable_slots = target.slots * (1 - excess_errors);
     capacity += usable_slots * rules.planned_share * speed -
                 target.waiting * slots_per_queued;
--- a/libs/control/src/placement.cc
+++ b/libs/control/src/placement.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "almondlink/control/error_share.h"
+#include "almondlink/control/error_rate.h"
 
 namespace almondlink::control {
 
@@ -42,7 +42,7 @@
     const double others =
         (sum - targets[i].error_rate) / static_cast<double>(open_count - 1);
     excess[i] =
-        targets[i].is_open ? ErrorsOver(targets[i].error_rate, others) : 0;
+        targets[i].is_open ? ExcessErrorRate(targets[i].error_rate, others) : 0;
   }
   return excess;
 }
@@ -60,7 +60,7 @@
     open_count += target.is_open ? 1 : 0;
     set_aside_count += target.is_open && !MayUse(now, target.health) ? 1 : 0;
   }
-  const bool is_health_ignored = set_aside_count > MostSetAside(open_count);
+  const bool is_health_ignored = set_aside_count > MaxEjected(open_count);
   Candidates found;
   for (std::size_t i = 0; i < targets.size(); ++i) {
     const PlacementTarget& target = targets[i];
@@ -96,7 +96,7 @@
               const PlacementTarget& target,
               double excess_errors,
               double typical) {
-  const double slower = 1 + rules.failing_weight * target.health.failing;
+  const double slower = 1 + rules.failing_weight * target.health.failure_rate;
   const double errors = rules.error_penalty_ms * excess_errors;
   if (rules.is_time_based) {
     return slower * ExpectedTimeMs(target, typical) + errors;
--- a/libs/control/tests/membership_test.cc
+++ b/libs/control/tests/membership_test.cc
@@ -28,7 +28,7 @@
   return membership;
 }
 
-TEST_CASE("news in any order and twice ends at the same table") {
+TEST_CASE("updates in any order and repeated converge to the same table") {
   std::vector<wire::Member> news;
   for (std::uint64_t incarnation = 1; incarnation <= 2; ++incarnation) {
     for (std::uint64_t version = 1; version <= 3; ++version) {
@@ -54,7 +54,7 @@
   }
 }
 
-TEST_CASE("a paused node that wakes refutes what was said of it") {
+TEST_CASE("a resumed node refutes that it failed") {
   Membership membership = Start("me");
   const MergeResult result = MergeMember(
       {}, MakeMember("me", 1, 1, MemberState::kFailed), Millis{0}, membership);
@@ -62,14 +62,15 @@
   REQUIRE(SelfMember(membership).version == 2);
   REQUIRE(SelfMember(membership).state ==
           static_cast<std::uint32_t>(MemberState::kAlive));
-  // Others take the refutation although they held it failed.
+  // Others accept the refutation although they considered the node failed.
   Membership other = Start("other");
   MergeMember({}, MakeMember("me", 1, 1, MemberState::kFailed), Millis{0},
               other);
   REQUIRE(MergeMember({}, SelfMember(membership), Millis{0}, other).is_changed);
 }
 
-TEST_CASE("a suspect fails in time, a restart under the same id comes back") {
+TEST_CASE(
+    "a suspect fails after its timeout, a restart under the same id rejoins") {
   const MembershipRules rules;
   Membership membership = Start("me");
   MergeMember(rules, MakeMember("x", 5, 1, MemberState::kAlive), Millis{0},
@@ -78,7 +79,7 @@
   REQUIRE(ExpireMembers(rules, Millis{3000}, membership).empty());
   REQUIRE(ExpireMembers(rules, Millis{3001}, membership) ==
           std::vector<std::string>{"x"});
-  // Old news of the dead incarnation does not bring it back.
+  // A stale update of the failed incarnation does not bring it back.
   REQUIRE_FALSE(MergeMember(rules, MakeMember("x", 5, 1, MemberState::kAlive),
                             Millis{3002}, membership)
                     .is_changed);
@@ -108,7 +109,7 @@
   }
 }
 
-TEST_CASE("news reaches a whole group in a few rounds, also with loss") {
+TEST_CASE("an update reaches all members in a few rounds, also with loss") {
   constexpr int kNodes = 100;
   std::mt19937_64 random(11);
   std::uniform_real_distribution<double> draw(0, 1);
@@ -123,7 +124,7 @@
           {}, MakeMember("n" + std::to_string(i), 1, 1, MemberState::kAlive),
           Millis{0}, node);
       for (auto& [name, entry] : node.members) {
-        entry.passed_on = 1000;
+        entry.transmissions = 1000;
       }
     }
   }
--- a/libs/control/tests/relay_decisions_test.cc
+++ b/libs/control/tests/relay_decisions_test.cc
@@ -2,7 +2,7 @@
 #include <map>
 #include <random>
 
-#include "almondlink/control/instance_ledger.h"
+#include "almondlink/control/instance_tracker.h"
 #include "almondlink/control/placement.h"
 #include "almondlink/control/repeat_allowance.h"
 
@@ -91,7 +91,7 @@
   // row are rare, so neither is ejected as an outlier.
   std::vector<PlacementTarget> targets = {OpenTarget(47, 20, 15),
                                           OpenTarget(47, 20, 15)};
-  targets[0].health.failing = 0.4;
+  targets[0].health.failure_rate = 0.4;
   REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
                                 PlacementDraws()) == 1U);
   // It still takes the requests that the other cannot.
@@ -106,14 +106,14 @@
   TargetHealth health;
   HealthRules rules;
   for (int i = 0; i < 200; ++i) {
-    NoteHealth(rules, Millis{i}, i % 2 == 0, 0.5, health);
+    RecordOutcome(rules, Millis{i}, i % 2 == 0, 0.5, health);
   }
   for (int i = 0; i < 5; ++i) {
-    REQUIRE_FALSE(NoteHealth(rules, Millis{200}, true, 0.5, health));
+    REQUIRE_FALSE(RecordOutcome(rules, Millis{200}, true, 0.5, health));
   }
   REQUIRE(MayUse(Millis{201}, health));
   // A target that fails while the others do not is ejected.
-  REQUIRE(NoteHealth(rules, Millis{202}, true, 0.02, health));
+  REQUIRE(RecordOutcome(rules, Millis{202}, true, 0.02, health));
 }
 
 TEST_CASE("neither closed nor tried targets are chosen") {
@@ -135,12 +135,12 @@
   rules.window = Millis{10'000};
   rules.fixed = 47;
   rules.nodes = 13;
-  rules.used_part = 1;
+  rules.usable_share = 1;
   int repeats = 0;
   for (std::uint32_t node = 0; node < rules.nodes; ++node) {
     RepeatAllowance allowance;
     for (int i = 0; i < 100; ++i) {
-      NoteRequest(rules, Millis{1000 + i * 10}, allowance);
+      RecordRequest(rules, Millis{1000 + i * 10}, allowance);
       repeats += TakeRepeat(rules, 0, Millis{1000 + i * 10}, allowance) ? 1 : 0;
     }
   }
@@ -150,13 +150,13 @@
 
 TEST_CASE("repeats made inside a repeated run are charged to the allowance") {
   RepeatRules rules;
-  rules.used_part = 0.5;
+  rules.usable_share = 0.5;
   RepeatAllowance allowance;
   for (int i = 0; i < 100; ++i) {
-    NoteRequest(rules, Millis{1000}, allowance);
+    RecordRequest(rules, Millis{1000}, allowance);
   }
   for (int i = 0; i < 10; ++i) {
-    NoteRepeat(rules, Millis{1000}, allowance);
+    RecordRepeat(rules, Millis{1000}, allowance);
   }
   REQUIRE_FALSE(TakeRepeat(rules, 0, Millis{1000}, allowance));
   // After the window has passed, nothing is owed and nothing is saved up.
@@ -167,7 +167,7 @@
 
 InstanceReport Report(const std::string& id, std::uint64_t sequence) {
   InstanceReport report;
-  report.start.id = id;
+  report.incarnation.id = id;
   report.service = "stock";
   report.capacity = 50;
   report.sequence = sequence;
@@ -188,10 +188,10 @@
     // A hundred chains per second, a third of them of each priority.
     const Millis now{1000 + i * 10};
     const std::uint32_t priority = static_cast<std::uint32_t>(i) % 3;
-    const double place = RepeatPlace({priority, kCalls, 0, random()});
+    const double place = RepeatRank({priority, kCalls, 0, random()});
     bool is_complete = true;
     for (int call = 0; call < kCalls && is_complete; ++call) {
-      NoteRequest(rules, now, allowance);
+      RecordRequest(rules, now, allowance);
       is_complete =
           draw(random) < 0.5 ||
           (TakeRepeat(rules, place, now, allowance) && draw(random) < 0.5);
@@ -217,7 +217,7 @@
   rules.nodes = 2;
   RepeatAllowance allowance;
   for (int i = 0; i < 10; ++i) {
-    NoteRequest(rules, Millis{1000}, allowance);
+    RecordRequest(rules, Millis{1000}, allowance);
     REQUIRE(TakeRepeat(rules, 0.99, Millis{1000}, allowance));
   }
 }
@@ -225,7 +225,7 @@
 TEST_CASE("the order of requests for repeats is by priority first") {
   const auto place = [](std::uint32_t priority, double calls,
                         std::uint64_t hash) {
-    return RepeatPlace({priority, calls, 0, hash});
+    return RepeatRank({priority, calls, 0, hash});
   };
   REQUIRE(place(0, 8, ~0ULL) < place(1, 1, 0));
   REQUIRE(place(1, 8, ~0ULL) < place(2, 1, 0));
@@ -238,71 +238,71 @@
 
 TEST_CASE("requests with most of their chain done are repeated first") {
   const auto place = [](std::uint32_t done, std::uint64_t hash) {
-    return RepeatPlace({1, 4, done, hash});
+    return RepeatRank({1, 4, done, hash});
   };
   REQUIRE(place(3, ~0ULL) < place(2, 0));
   REQUIRE(place(2, ~0ULL) < place(1, 0));
   REQUIRE(place(1, ~0ULL) < place(0, 0));
   REQUIRE(place(0, 1ULL << 40) < place(0, 1ULL << 50));
   // Never before a request of higher priority.
-  REQUIRE(RepeatPlace({0, 4, 0, ~0ULL}) < place(3, 0));
+  REQUIRE(RepeatRank({0, 4, 0, ~0ULL}) < place(3, 0));
 }
 
 TEST_CASE("a late report of an ended instance does not restore it") {
   // A delayed report arrives after its sender has ended and another instance
   // has taken over the address.
-  InstanceLedger ledger;
-  TakeReport(Millis{0}, Report("old", 7), ledger);
-  REQUIRE(TakeReport(Millis{1}, Report("new", 1), ledger) ==
+  InstanceTracker ledger;
+  ApplyReport(Millis{0}, Report("old", 7), ledger);
+  REQUIRE(ApplyReport(Millis{1}, Report("new", 1), ledger) ==
           ReportEffect::kChanged);
-  REQUIRE(TakeReport(Millis{2}, Report("old", 6), ledger) ==
+  REQUIRE(ApplyReport(Millis{2}, Report("old", 6), ledger) ==
           ReportEffect::kIgnored);
-  REQUIRE(ledger.current.start.id == "new");
+  REQUIRE(ledger.current.incarnation.id == "new");
 }
 
 TEST_CASE("an instance replaced by mistake is restored by a newer report") {
-  InstanceLedger ledger;
-  TakeReport(Millis{0}, Report("living", 7), ledger);
-  TakeReport(Millis{1}, Report("late", 3), ledger);
-  REQUIRE(TakeReport(Millis{2}, Report("living", 8), ledger) ==
+  InstanceTracker ledger;
+  ApplyReport(Millis{0}, Report("living", 7), ledger);
+  ApplyReport(Millis{1}, Report("late", 3), ledger);
+  REQUIRE(ApplyReport(Millis{2}, Report("living", 8), ledger) ==
           ReportEffect::kChanged);
-  REQUIRE(ledger.current.start.id == "living");
+  REQUIRE(ledger.current.incarnation.id == "living");
 }
 
 TEST_CASE("a leaving instance stays leaving across a restart of its node") {
   // The node restarts after it has acknowledged the leave. Its peers still know
   // of it, and a delayed ready report arrives.
-  InstanceLedger ledger;
-  RememberLeft(Millis{0}, {"going", 0}, ledger);
+  InstanceTracker ledger;
+  RestoreDeparted(Millis{0}, {"going", 0}, ledger);
   REQUIRE(ledger.phase == InstancePhase::kNone);
-  TakeReport(Millis{1}, Report("going", 9), ledger);
+  ApplyReport(Millis{1}, Report("going", 9), ledger);
   REQUIRE(ledger.phase == InstancePhase::kLeaving);
 }
 
 TEST_CASE("a leave without a report is applied once") {
-  InstanceLedger ledger;
-  TakeReport(Millis{0}, Report("a", 1), ledger);
-  REQUIRE(TakeLeave(Millis{5}, {"a", 0}, ledger) == ReportEffect::kChanged);
-  REQUIRE(TakeLeave(Millis{9}, {"a", 0}, ledger) == ReportEffect::kRefreshed);
+  InstanceTracker ledger;
+  ApplyReport(Millis{0}, Report("a", 1), ledger);
+  REQUIRE(ApplyLeave(Millis{5}, {"a", 0}, ledger) == ReportEffect::kChanged);
+  REQUIRE(ApplyLeave(Millis{9}, {"a", 0}, ledger) == ReportEffect::kRefreshed);
   REQUIRE(ledger.leaving_since == Millis{5});
-  REQUIRE(TakeLeave(Millis{9}, {"b", 0}, ledger) == ReportEffect::kIgnored);
+  REQUIRE(ApplyLeave(Millis{9}, {"b", 0}, ledger) == ReportEffect::kIgnored);
 }
 
 TEST_CASE("a leaving instance does not replace a live one") {
-  InstanceLedger ledger;
-  TakeReport(Millis{0}, Report("living", 1), ledger);
+  InstanceTracker ledger;
+  ApplyReport(Millis{0}, Report("living", 1), ledger);
   InstanceReport leaving = Report("other", 5);
   leaving.is_leaving = true;
-  REQUIRE(TakeReport(Millis{1}, leaving, ledger) == ReportEffect::kIgnored);
-  REQUIRE(ledger.current.start.id == "living");
+  REQUIRE(ApplyReport(Millis{1}, leaving, ledger) == ReportEffect::kIgnored);
+  REQUIRE(ledger.current.incarnation.id == "living");
 }
 
 TEST_CASE("a few slots of an instance stay unused") {
-  InstanceLedger ledger;
+  InstanceTracker ledger;
   REQUIRE(UsableSlots(ledger) == 0);
   InstanceReport report = Report("a", 1);
   report.capacity = 43;
-  TakeReport(Millis{0}, report, ledger);
+  ApplyReport(Millis{0}, report, ledger);
   REQUIRE(UsableSlots(ledger) == 40);
 }
 
--- a/libs/control/tests/routing_test.cc
+++ b/libs/control/tests/routing_test.cc
@@ -87,28 +87,28 @@
   TargetHealth health;
   bool is_ejected = false;
   for (int i = 0; i < 5; ++i) {
-    is_ejected = NoteHealth(HealthRules(), Millis{100}, true, 0, health);
+    is_ejected = RecordOutcome(HealthRules(), Millis{100}, true, 0, health);
   }
   REQUIRE(is_ejected);
   REQUIRE_FALSE(MayUse(Millis{200}, health));
   REQUIRE(MayUse(Millis{700}, health));
-  NoteSent(Millis{700}, health);
+  RecordSent(Millis{700}, health);
   REQUIRE_FALSE(MayUse(Millis{710}, health));
-  NoteHealth(HealthRules(), Millis{720}, false, 0, health);
+  RecordOutcome(HealthRules(), Millis{720}, false, 0, health);
   REQUIRE(MayUse(Millis{730}, health));
-  NoteSent(Millis{730}, health);
-  NoteHealth(HealthRules(), Millis{740}, false, 0, health);
-  NoteHealth(HealthRules(), Millis{750}, false, 0, health);
-  REQUIRE(health.state == HealthState::kGood);
+  RecordSent(Millis{730}, health);
+  RecordOutcome(HealthRules(), Millis{740}, false, 0, health);
+  RecordOutcome(HealthRules(), Millis{750}, false, 0, health);
+  REQUIRE(health.state == HealthState::kHealthy);
 }
 
 TEST_CASE("a failed trial doubles the wait") {
   TargetHealth health;
   for (int i = 0; i < 5; ++i) {
-    NoteHealth(HealthRules(), Millis{0}, true, 0, health);
+    RecordOutcome(HealthRules(), Millis{0}, true, 0, health);
   }
-  NoteSent(Millis{500}, health);
-  REQUIRE(NoteHealth(HealthRules(), Millis{500}, true, 0, health));
+  RecordSent(Millis{500}, health);
+  REQUIRE(RecordOutcome(HealthRules(), Millis{500}, true, 0, health));
   REQUIRE_FALSE(MayUse(Millis{1400}, health));
   REQUIRE(MayUse(Millis{1500}, health));
 }
@@ -116,8 +116,8 @@
 TEST_CASE("no target is ejected when most fail") {
   std::vector<TargetView> views = SixTargets();
   for (std::size_t i = 0; i < 4; ++i) {
-    views[i].health.state = HealthState::kSetAside;
-    views[i].health.until = Millis{9000};
+    views[i].health.state = HealthState::kEjected;
+    views[i].health.ejected_until = Millis{9000};
   }
   REQUIRE(OwnZoneShare(views, Millis{5000}) == 1.0);
 }
