--- a/almondlinkd/lost_calls.cc
+++ b/almondlinkd/lost_calls.cc
@@ -26,11 +26,12 @@
   relay::ProbeTarget(
       this->state->loop,
       {boost::asio::ip::make_address(target.ip), target.port},
-      [weak =
-           std::weak_ptr<State>(this->state)](relay::TargetPresence presence) {
+      [weak = std::weak_ptr<State>(this->state)](
+          relay::TargetProbeResult presence) {
         if (const std::shared_ptr<State> open = weak.lock()) {
           const List settled = std::exchange(open->calls, {});
-          open->on_settled(settled, presence == relay::TargetPresence::kGone);
+          open->on_settled(settled,
+                           presence == relay::TargetProbeResult::kNotListening);
         }
       });
 }
--- a/libs/relay/include/almondlink/relay/entry_calls.h
+++ b/libs/relay/include/almondlink/relay/entry_calls.h
@@ -16,9 +16,9 @@
 #include "almondlink/control/repeat_allowance.h"
 #include "almondlink/control/weighted_turns.h"
 #include "almondlink/policy/route_table.h"
-#include "almondlink/relay/blame_exchange.h"
 #include "almondlink/relay/caller_port.h"
 #include "almondlink/relay/peer_table.h"
+#include "almondlink/relay/quarantine_exchange.h"
 #include "almondlink/relay/quota_exchange.h"
 #include "almondlink/relay/relay_settings.h"
 #include "almondlink/relay/request_counts.h"
@@ -62,7 +62,7 @@
   /// Loans of quotas between nodes.
   QuotaExchange& Quotas() { return this->quotas; }
   /// Requests that targets ended under, between nodes.
-  BlameExchange& Blame() { return this->blame; }
+  QuarantineExchange& Blame() { return this->blame; }
   const TrialCounts& Trials() const { return this->trials; }
 
   /// Frames from the node beside a target.
@@ -227,7 +227,7 @@
   Millis started;
   std::mt19937 random;
   RequestCounts counts;
-  BlameExchange blame;
+  QuarantineExchange blame;
   /// Calls whose callers left while a target ran them: it may yet end.
   struct LeftCall {
     CallPointer call;
--- a/libs/relay/include/almondlink/relay/peer_frames.h
+++ b/libs/relay/include/almondlink/relay/peer_frames.h
@@ -32,26 +32,26 @@
   kData = 6,
   kWindow = 7,
   kCancel = 8,
-  kSeen = 9,
+  kStateConfirmed = 9,
   /// Asks for a state at once.
   kPing = 10,
   /// What changes all the time in a state, without the rest.
   kLoad = 11,
   /// Asks for the policy if it is newer than the number told.
-  kWantPolicy = 12,
+  kPolicyRequest = 12,
   /// Number of the policy in force; the rest of the state is as told.
-  kVersion = 13,
+  kPolicyVersion = 13,
   /// Addresses of nodes that the sender has just learned of.
   kNodes = 14,
   /// Asks the lender of an account's quota for tokens, and its answer.
-  kQuotaAsk = 15,
+  kQuotaRequest = 15,
   kQuotaLoan = 16,
   /// Requests that targets ended under, or lived through.
-  kBlame = 17,
+  kQuarantine = 17,
   /// Asks for the trial of such a request, its answer, and the trial's end.
-  kTrialAsk = 18,
-  kTrialAnswer = 19,
-  kTrialOver = 20,
+  kTrialRequest = 18,
+  kTrialResponse = 19,
+  kTrialEnded = 20,
 };
 
 /// What a target tells of its life; later values are never taken back for the
@@ -69,7 +69,7 @@
   std::uint64_t sequence = 0;
   InstanceState state = InstanceState::kNone;
   /// Start time of the instance, see control/instance_ledger.h; 0 if not told.
-  std::uint64_t born = 0;
+  std::uint64_t started_at = 0;
 };
 
 /// How other nodes reach a node.
@@ -95,29 +95,29 @@
   std::string zone;
   std::string deployment;
   /// Some of the other nodes that the sender knows.
-  std::vector<NodeAddress> others;
+  std::vector<NodeAddress> known_nodes;
   /// What the sender remembers of the receiver's instances.
-  std::vector<InstanceRecord> remembered;
+  std::vector<InstanceRecord> draining_instances;
   /// What the sender understands: from kSpeaksLoad on, load frames; from
   /// kAsksPolicy on it asks for a policy that it lacks, and is not sent any
   /// otherwise.
-  std::uint32_t dialect = 0;
+  std::uint32_t protocol_version = 0;
   /// Number of the latest start of the receiver that the sender has met; 0 if
   /// none. A node whose clock went back between two starts takes a later one.
   std::uint64_t known_incarnation = 0;
   /// Number of the start before that, and what it told of repeats last; 0 if
   /// the sender has not met it.
-  std::uint64_t former_incarnation = 0;
-  std::vector<ServiceRepeats> former_repeats;
+  std::uint64_t previous_incarnation = 0;
+  std::vector<ServiceRepeats> previous_repeats;
 };
 
 /// The dialects that know load frames, questions for a policy, loans of quotas
 /// and requests that end targets, and the one spoken here.
-constexpr std::uint32_t kSpeaksLoad = 1;
-constexpr std::uint32_t kAsksPolicy = 2;
-constexpr std::uint32_t kLendsQuota = 3;
-constexpr std::uint32_t kNamesEnds = 4;
-constexpr std::uint32_t kOwnDialect = kNamesEnds;
+constexpr std::uint32_t kVersionLoadFrames = 1;
+constexpr std::uint32_t kVersionPolicyPull = 2;
+constexpr std::uint32_t kVersionQuotaLending = 3;
+constexpr std::uint32_t kVersionQuarantine = 4;
+constexpr std::uint32_t kProtocolVersion = kVersionQuarantine;
 
 /// State of a node and of the target beside it.
 struct StateFrame {
@@ -137,18 +137,18 @@
   std::vector<control::RouteDemand> demand;
   std::vector<control::RootRate> roots;
   /// Start time of the instance; 0 if not told.
-  std::uint64_t born = 0;
+  std::uint64_t started_at = 0;
   /// Of services whose requests were sent once more within the window.
   std::vector<ServiceRepeats> repeats;
   /// The sender can read the source of the policy, as far as it knows.
   bool has_source = false;
   /// Part of the target's answers that are failures of its own.
-  double erring = 0;
+  double error_rate = 0;
 };
 
 /// Which report of which start of an instance a state was made after.
-struct ReportNumber {
-  std::uint64_t born = 0;
+struct ReportId {
+  std::uint64_t started_at = 0;
   std::uint64_t sequence = 0;
 };
 
@@ -163,7 +163,7 @@
   std::vector<control::RouteDemand> demand;
   std::vector<control::RootRate> roots;
   std::vector<ServiceRepeats> repeats;
-  double erring = 0;
+  double error_rate = 0;
 };
 
 /// The load that a state tells, and a state with another load.
@@ -173,16 +173,16 @@
 
 /// Whether two states differ in their load at most, and in the number of the
 /// last report, which matters only for an instance that leaves.
-bool HaveSameFacts(const StateFrame& a, const StateFrame& b);
+bool EqualExceptLoad(const StateFrame& a, const StateFrame& b);
 /// The same but for the number of the policy.
-bool HaveSameFactsButVersion(const StateFrame& a, const StateFrame& b);
+bool EqualExceptLoadAndVersion(const StateFrame& a, const StateFrame& b);
 
 /// One attempt of a request, to the node beside its target.
 struct CallFrame {
   std::uint32_t id = 0;
   /// The sender's clock, to tell a frame that was held up on the way.
   std::uint64_t sent_ms = 0;
-  std::uint32_t left_ms = 0;
+  std::uint32_t remaining_ms = 0;
   /// Longest time that it may wait for a slot.
   std::uint32_t wait_ms = 0;
   bool is_repeatable = false;
@@ -230,9 +230,9 @@
   kLinkLost = 10,
   kLinkBusy = 11,
   /// The target's process ended while it ran the call.
-  kTargetEnded = 12,
+  kTargetCrashed = 12,
   /// Targets have ended under the same request.
-  kEndsTargets = 13,
+  kQuarantined = 13,
 };
 
 /// Name of a reason in logs and metrics.
@@ -253,9 +253,9 @@
   std::string_view fields;
   std::string_view body;
   /// What ran for it, here and further down; none from an older node.
-  control::CallCounts ran;
+  control::CallCounts run_counts;
   /// See StateFrame; 0 from an older node.
-  double erring = 0;
+  double error_rate = 0;
 };
 
 /// A further part of an answer's body.
@@ -265,7 +265,7 @@
   bool is_last = false;
   bool is_broken = false;
   /// It broke because the target's process ended.
-  bool is_target_ended = false;
+  bool is_target_crashed = false;
   std::string_view body;
 };
 
@@ -276,7 +276,7 @@
 };
 
 /// Asks for tokens of an account's quota.
-struct QuotaAskFrame {
+struct QuotaRequestFrame {
   /// See policy::AccountKeyOf.
   std::uint32_t account = 0;
   std::uint32_t wanted = 0;
@@ -292,36 +292,36 @@
 };
 
 /// What the sender knows of a request that targets ended under.
-struct BlameNews {
+struct QuarantineUpdate {
   control::RequestDigest digest;
   /// A target lived through a run of it: nothing holds it any more.
-  bool is_whole = false;
-  std::vector<std::uint64_t> starts;
+  bool is_completed = false;
+  std::vector<std::uint64_t> crashed_incarnations;
   std::uint32_t failed_trials = 0;
   /// Time since the last end.
   Millis age;
 };
 
-struct BlameFrame {
-  std::vector<BlameNews> news;
+struct QuarantineFrame {
+  std::vector<QuarantineUpdate> updates;
 };
 
 /// Asks the node that permits the trials of a service for one.
-struct TrialAskFrame {
+struct TrialRequestFrame {
   control::RequestDigest digest;
   std::string service;
   /// Nobody waits for it any longer than this.
-  std::uint32_t left_ms = 0;
+  std::uint32_t remaining_ms = 0;
 };
 
 /// The trial may begin at the target beside `node`; it must wait if empty.
-struct TrialAnswerFrame {
+struct TrialResponseFrame {
   control::RequestDigest digest;
   std::string node;
 };
 
 /// The trial that was permitted is over, or did not begin.
-struct TrialOverFrame {
+struct TrialEndedFrame {
   control::RequestDigest digest;
 };
 
@@ -334,7 +334,7 @@
 };
 
 /// Largest frame; a longer one means that the peer speaks something else.
-constexpr std::size_t kMaxFrame = 80 * 1024 * 1024;
+constexpr std::size_t kMaxFrameSize = 80 * 1024 * 1024;
 
 /// The first frame of `input`: none while it is incomplete. `is_bad` is set if
 /// it cannot be one.
@@ -347,19 +347,19 @@
 void Append(const AnswerFrame& frame, std::string& out);
 void Append(const DataFrame& frame, std::string& out);
 void Append(const WindowFrame& frame, std::string& out);
-void Append(const QuotaAskFrame& frame, std::string& out);
+void Append(const QuotaRequestFrame& frame, std::string& out);
 void Append(const QuotaLoanFrame& frame, std::string& out);
-void Append(const BlameFrame& frame, std::string& out);
-void Append(const TrialAskFrame& frame, std::string& out);
-void Append(const TrialAnswerFrame& frame, std::string& out);
-void Append(const TrialOverFrame& frame, std::string& out);
+void Append(const QuarantineFrame& frame, std::string& out);
+void Append(const TrialRequestFrame& frame, std::string& out);
+void Append(const TrialResponseFrame& frame, std::string& out);
+void Append(const TrialEndedFrame& frame, std::string& out);
 void AppendPolicy(std::string_view policy, std::string& out);
 void AppendCancel(std::uint32_t id, std::string& out);
 void AppendPing(std::string& out);
 /// The receiver keeps the state made after that report in mind.
-void AppendSeen(const ReportNumber& report, std::string& out);
-void AppendWantPolicy(std::uint64_t own_version, std::string& out);
-void AppendVersion(std::uint64_t version, std::string& out);
+void AppendStateConfirmed(const ReportId& report, std::string& out);
+void AppendPolicyRequest(std::uint64_t own_version, std::string& out);
+void AppendPolicyVersion(std::uint64_t version, std::string& out);
 void AppendNodes(const std::vector<NodeAddress>& nodes, std::string& out);
 
 /// Decoders; false if the payload is too short. Views point into the payload.
@@ -370,16 +370,16 @@
 bool Decode(std::string_view payload, AnswerFrame& frame);
 bool Decode(std::string_view payload, DataFrame& frame);
 bool Decode(std::string_view payload, WindowFrame& frame);
-bool Decode(std::string_view payload, QuotaAskFrame& frame);
+bool Decode(std::string_view payload, QuotaRequestFrame& frame);
 bool Decode(std::string_view payload, QuotaLoanFrame& frame);
-bool Decode(std::string_view payload, BlameFrame& frame);
-bool Decode(std::string_view payload, TrialAskFrame& frame);
-bool Decode(std::string_view payload, TrialAnswerFrame& frame);
-bool Decode(std::string_view payload, TrialOverFrame& frame);
+bool Decode(std::string_view payload, QuarantineFrame& frame);
+bool Decode(std::string_view payload, TrialRequestFrame& frame);
+bool Decode(std::string_view payload, TrialResponseFrame& frame);
+bool Decode(std::string_view payload, TrialEndedFrame& frame);
 bool DecodeCancel(std::string_view payload, std::uint32_t& id);
-bool DecodeSeen(std::string_view payload, ReportNumber& report);
+bool DecodeStateConfirmed(std::string_view payload, ReportId& report);
 /// Of both frames that hold the number of a policy.
-bool DecodeVersion(std::string_view payload, std::uint64_t& version);
+bool DecodePolicyVersion(std::string_view payload, std::uint64_t& version);
 bool DecodeNodes(std::string_view payload, std::vector<NodeAddress>& nodes);
 
 }  // namespace almondlink::relay
--- a/libs/relay/include/almondlink/relay/peer_link.h
+++ b/libs/relay/include/almondlink/relay/peer_link.h
@@ -37,8 +37,8 @@
   void Start();
 
   /// Buffer to append frames to; call FlushSoon() after.
-  std::string& Out() { return this->output; }
-  void FlushSoon();
+  std::string& OutputBuffer() { return this->output; }
+  void ScheduleFlush();
 
   /// Calls `task` once, from the loop, when all that was appended until now has
   /// left this host, or the link is closed. One at a time.
@@ -51,17 +51,17 @@
   bool IsOpen() const { return this->socket.is_open(); }
   std::uint64_t Id() const { return this->id; }
   Millis LastReceived() const { return this->last_received; }
-  std::size_t Waiting() const { return this->output.size(); }
+  std::size_t PendingBytes() const { return this->output.size(); }
 
  private:
   void Read();
   void OnRead(std::string_view bytes);
   /// Hands on all whole frames of `bytes`; what they took. False in `is_good`
   /// if it is no frame.
-  std::size_t TakeFrames(std::string_view bytes, bool& is_good);
+  std::size_t DispatchFrames(std::string_view bytes, bool& is_good);
   void Flush();
   void Fail();
-  void RunDrained();
+  void RunDrainCallback();
 
   boost::asio::ip::tcp::socket socket;
   const std::uint64_t id;
--- a/libs/relay/include/almondlink/relay/blame_exchange.h
+++ b/libs/relay/include/almondlink/relay/quarantine_exchange.h
@@ -1,5 +1,5 @@
-#ifndef ALMONDLINK_RELAY_BLAME_EXCHANGE_H_
-#define ALMONDLINK_RELAY_BLAME_EXCHANGE_H_
+#ifndef ALMONDLINK_RELAY_QUARANTINE_EXCHANGE_H_
+#define ALMONDLINK_RELAY_QUARANTINE_EXCHANGE_H_
 
 #include <functional>
 #include <map>
@@ -23,42 +23,44 @@
 namespace almondlink::relay {
 
 /// Not thread safe: belongs to one loop.
-class BlameExchange {
+class QuarantineExchange {
  public:
   /// A trial may begin at the target beside the node named.
-  using OnPermit = std::function<void(const control::RequestDigest& digest,
-                                      const std::string& node)>;
+  using TrialPermitHandler =
+      std::function<void(const control::RequestDigest& digest,
+                         const std::string& node)>;
 
-  BlameExchange(const RelaySettings& settings,
-                PeerTable& peers,
-                OnPermit on_permit);
-  BlameExchange(const BlameExchange&) = delete;
-  BlameExchange& operator=(const BlameExchange&) = delete;
+  QuarantineExchange(const RelaySettings& settings,
+                     PeerTable& peers,
+                     TrialPermitHandler on_permit);
+  QuarantineExchange(const QuarantineExchange&) = delete;
+  QuarantineExchange& operator=(const QuarantineExchange&) = delete;
 
   /// Who keeps what a trial has proved where it outlasts all nodes: called by
   /// the node that began the trial only. Each may be null.
-  void OnProof(std::function<void(const control::RequestDigest&,
-                                  const control::BlameRecord&)> on_guilty,
-               std::function<void(const control::RequestDigest&)> on_cleared);
+  void SetConfirmationHandlers(
+      std::function<void(const control::RequestDigest&,
+                         const control::BlameRecord&)> on_guilty,
+      std::function<void(const control::RequestDigest&)> on_cleared);
   /// Takes what was kept.
-  void Take(const control::RequestDigest& digest,
-            const control::BlameRecord& record);
+  void MergeStored(const control::RequestDigest& digest,
+                   const control::BlameRecord& record);
 
   /// Whether nothing is known of any request with this path. Where it holds no
   /// digest is needed.
-  bool IsBlank(std::uint64_t path) const;
+  bool IsPathUnknown(std::uint64_t path) const;
   bool IsEmpty() const { return this->table.records.empty(); }
 
-  control::BlameVerdict Judge(const control::RequestDigest& digest,
-                              Millis now) const;
+  control::BlameVerdict Decide(const control::RequestDigest& digest,
+                               Millis now) const;
 
   /// The request was under way where a target ended; told to all. True if that
   /// was not known.
-  bool NoteTargetEnd(const control::RequestDigest& digest,
-                     const control::TargetEnd& end,
-                     Millis now);
+  bool RecordTargetCrash(const control::RequestDigest& digest,
+                         const control::TargetEnd& end,
+                         Millis now);
   /// A target lived through it; told to all. True if anything was known.
-  bool NoteWholeRun(const control::RequestDigest& digest);
+  bool RecordCompletedRun(const control::RequestDigest& digest);
 
   /// The operator lets go of the request with that digest, as a whole run
   /// would; told to all. False if nothing is known of it here.
@@ -66,24 +68,25 @@
 
   /// A line for each request that is held, with a head: digest, ends, failed
   /// trials, whether it is tried or refused, and milliseconds.
-  std::string ListHeld(Millis now) const;
+  std::string ListQuarantined(Millis now) const;
 
   /// Asks for a trial, if it is time to.
-  void AskTrial(const control::RequestDigest& digest,
-                const std::string& service,
-                Millis left,
-                Millis now);
+  void RequestTrial(const control::RequestDigest& digest,
+                    const std::string& service,
+                    Millis left,
+                    Millis now);
   /// The trial that was permitted is over, or cannot begin.
   void EndTrial(const control::RequestDigest& digest,
                 const std::string& service);
 
   /// Frames of other nodes.
-  void OnNews(const BlameFrame& frame);
-  void OnAsk(const PeerLinkPointer& link, const TrialAskFrame& ask);
-  void OnPermitted(const TrialAnswerFrame& answer);
-  void OnOver(const TrialOverFrame& over);
+  void OnUpdates(const QuarantineFrame& frame);
+  void OnTrialRequest(const PeerLinkPointer& link,
+                      const TrialRequestFrame& ask);
+  void OnTrialResponse(const TrialResponseFrame& answer);
+  void OnTrialEnded(const TrialEndedFrame& over);
   /// A link to the node is usable: it is told of the requests that are held.
-  void OnPeer(const PeerPointer& peer);
+  void OnPeerConnected(const PeerPointer& peer);
 
   /// Forgets what is too old; call every 100 ms.
   void Tick(Millis now);
@@ -95,27 +98,27 @@
   static const control::BlameRules& Rules();
 
  private:
-  PeerPointer Keeper(const std::string& service) const;
-  std::string Permit(const control::RequestDigest& digest,
-                     const std::string& service,
-                     Millis left,
-                     Millis now);
-  void TellAll(const BlameFrame& frame);
+  PeerPointer TrialCoordinator(const std::string& service) const;
+  std::string GrantTrial(const control::RequestDigest& digest,
+                         const std::string& service,
+                         Millis left,
+                         Millis now);
+  void Broadcast(const QuarantineFrame& frame);
 
   const RelaySettings& settings;
   PeerTable& peers;
-  OnPermit on_permit;
+  TrialPermitHandler on_permit;
   std::function<void(const control::RequestDigest&,
                      const control::BlameRecord&)>
-      on_guilty;
+      on_confirmed;
   std::function<void(const control::RequestDigest&)> on_cleared;
   control::BlameTable table;
   /// Of the services that this node permits the trials of.
-  control::TrialBook book;
+  control::TrialBook trials;
   /// When the trial of a request was asked for last.
-  std::map<control::RequestDigest, Millis> asked;
+  std::map<control::RequestDigest, Millis> last_requested;
 };
 
 }  // namespace almondlink::relay
 
-#endif  // ALMONDLINK_RELAY_BLAME_EXCHANGE_H_
+#endif  // ALMONDLINK_RELAY_QUARANTINE_EXCHANGE_H_
--- a/libs/relay/include/almondlink/relay/quota_exchange.h
+++ b/libs/relay/include/almondlink/relay/quota_exchange.h
@@ -31,44 +31,46 @@
 
   /// Decides a request of the account; call once for each. Accounts without a
   /// limit always have one.
-  control::QuotaAnswer Take(const policy::ClientAccount& account, Millis now);
+  control::QuotaAnswer TakeToken(const policy::ClientAccount& account,
+                                 Millis now);
   /// Whether there is a token now for a request that was to wait for one.
-  bool TakeForWaiting(const policy::ClientAccount& account, Millis now);
+  bool TakeTokenForQueued(const policy::ClientAccount& account, Millis now);
   /// The request did not run: its token can be used again.
-  void GiveBack(const policy::ClientAccount& account, Millis now);
+  void ReturnToken(const policy::ClientAccount& account, Millis now);
   /// Asks the lender, if it is time to, for so many requests that wait.
-  void Ask(const policy::ClientAccount& account,
-           std::uint32_t waiting,
-           Millis now);
+  void RequestTokens(const policy::ClientAccount& account,
+                     std::uint32_t waiting,
+                     Millis now);
   /// Whether the lender has said that there is nothing for those who wait.
-  bool IsEmpty(const policy::ClientAccount& account, Millis now) const;
+  bool IsExhausted(const policy::ClientAccount& account, Millis now) const;
   /// Whether the lender does not answer.
-  bool IsSilent(const policy::ClientAccount& account, Millis now) const;
+  bool IsLenderSilent(const policy::ClientAccount& account, Millis now) const;
   /// Until the account has a token for a caller that is turned away.
-  Millis WaitOf(const policy::ClientAccount& account) const;
+  Millis TimeUntilToken(const policy::ClientAccount& account) const;
   /// Whether this node, and with it perhaps all others, has started so lately
   /// that nobody may lend yet.
-  bool MayBeUnsettled(Millis now) const;
+  bool IsStartingUp(Millis now) const;
   /// Requests here per second, and tokens that were lent for them.
-  double DemandOf(const policy::ClientAccount& account) const;
-  double LentOf(const policy::ClientAccount& account) const;
+  double DemandPerSecond(const policy::ClientAccount& account) const;
+  double LentPerSecond(const policy::ClientAccount& account) const;
   /// Name of the node that lends the account's tokens, for the log.
   std::string LenderOf(const policy::ClientAccount& account) const;
 
   /// An ask of another node; the answer goes to `link`.
-  void OnAsk(const PeerLinkPointer& link, const QuotaAskFrame& ask);
+  void OnQuotaRequest(const PeerLinkPointer& link,
+                      const QuotaRequestFrame& ask);
   void OnLoan(const QuotaLoanFrame& frame);
 
   /// Notices nodes that came or went, and silent lenders; call every 100 ms.
   void Tick(Millis now);
 
-  std::size_t Purses() const { return this->purses.size(); }
-  std::size_t Buckets() const { return this->buckets.size(); }
+  std::size_t PurseCount() const { return this->purses.size(); }
+  std::size_t BucketCount() const { return this->buckets.size(); }
 
  private:
   PeerPointer Lender(policy::AccountKey account) const;
   bool IsSettled(Millis now) const;
-  void NoteSuspension(Millis now);
+  void ResetAfterSuspension(Millis now);
   QuotaLoanFrame LendTo(policy::AccountKey account,
                         std::uint32_t wanted,
                         Millis now);
@@ -80,10 +82,10 @@
   std::unordered_map<std::uint32_t, control::QuotaPurse> purses;
   std::unordered_map<std::uint32_t, control::QuotaBucket> buckets;
   /// Hash of the nodes that may be lenders, and since when it is the same.
-  std::uint64_t view = 0;
-  Millis view_since;
+  std::uint64_t lender_set_hash = 0;
+  Millis lender_set_since;
   /// When this node first had a policy.
-  Millis ready_since;
+  Millis first_policy_at;
   Millis last_tick;
 };
 
--- a/libs/relay/include/almondlink/relay/relay_node.h
+++ b/libs/relay/include/almondlink/relay/relay_node.h
@@ -29,17 +29,18 @@
 struct RelayHooks {
   /// Turns a policy as it is passed between nodes into a table; null if it is
   /// none.
-  std::function<policy::RouteTablePointer(const std::string& text)> parse;
+  std::function<policy::RouteTablePointer(const std::string& text)>
+      parse_policy;
   /// The node has nothing left to do after Stop().
   std::function<void()> on_stopped;
   /// This start of the node has another number from now on, above one that
   /// another node has met.
-  std::function<void(std::uint64_t incarnation)> on_incarnation;
+  std::function<void(std::uint64_t incarnation)> on_incarnation_changed;
   /// A trial proved that the request ends targets, or a later one that it does
   /// not: to be kept where it outlasts all nodes. Each may be null.
   std::function<void(const control::RequestDigest& digest,
                      const control::BlameRecord& record)>
-      on_guilty;
+      on_confirmed;
   std::function<void(const control::RequestDigest& digest)> on_cleared;
 };
 
@@ -58,9 +59,9 @@
 
   /// Takes a policy if it is newer than the one in force. `text`: the form that
   /// is passed to other nodes. `source` is for the log.
-  void TakePolicy(policy::RouteTablePointer table,
-                  const std::string& text,
-                  const char* source);
+  void ApplyPolicy(policy::RouteTablePointer table,
+                   const std::string& text,
+                   const char* source);
 
   /// A report of the instance; `acknowledge` is called once the report can be
   /// acknowledged: a leave is first made known to another node, so that a
@@ -73,24 +74,26 @@
                std::function<void()> acknowledge);
 
   /// Takes what was kept of a request that ended targets.
-  void TakeGuilty(const control::RequestDigest& digest,
-                  const control::BlameRecord& record) {
-    this->entry.Blame().Take(digest, record);
+  void RestoreQuarantine(const control::RequestDigest& digest,
+                         const control::BlameRecord& record) {
+    this->entry.Blame().MergeStored(digest, record);
   }
 
   /// See BlameExchange.
-  std::string ListHeld() { return this->entry.Blame().ListHeld(BootTimeNow()); }
-  bool LiftBlame(const std::string& digest) {
+  std::string ListQuarantined() {
+    return this->entry.Blame().ListQuarantined(BootTimeNow());
+  }
+  bool LiftQuarantine(const std::string& digest) {
     return this->entry.Blame().Lift(digest);
   }
 
   /// Makes another node known. True if nothing was known of it.
-  bool Learn(const NodeAddress& node) { return this->peers.Learn(node); }
+  bool AddNode(const NodeAddress& node) { return this->peers.AddNode(node); }
   /// Makes nodes known to all others.
-  void TellNodes(const std::vector<NodeAddress>& nodes) {
-    this->peers.TellNodes(nodes);
+  void AnnounceNodes(const std::vector<NodeAddress>& nodes) {
+    this->peers.AnnounceNodes(nodes);
   }
-  NodeAddress Self() const { return this->peers.Self(); }
+  NodeAddress SelfAddress() const { return this->peers.SelfAddress(); }
   /// Numbers this start anew, above an earlier one's.
   void SetIncarnation(std::uint64_t incarnation) {
     this->peers.SetIncarnation(incarnation);
@@ -99,13 +102,13 @@
   /// Whether this is one of the first `count` nodes in an order that all nodes
   /// know, of those that are reachable: for work that a few do for all.
   bool IsAmongFirst(std::uint32_t count) const {
-    return this->peers.OwnRank() < count;
+    return this->peers.RankAmongReachable() < count;
   }
 
   /// The same of all nodes that are known, reachable or not: before links are
   /// there.
   bool IsAmongFirstKnown(std::uint32_t count) const {
-    return this->peers.OwnRankOfKnown() < count;
+    return this->peers.RankAmongKnown() < count;
   }
   /// Whether this node is one of the few that read the source of the policy.
   bool FollowsSource() const { return this->peers.FollowsSource(); }
@@ -131,26 +134,26 @@
 
  private:
   struct PendingAck {
-    ReportNumber report;
+    ReportId report;
     Millis until;
     std::function<void()> acknowledge;
   };
 
-  PeerEvents PeerHooks();
-  ServedEvents ServedHooks();
+  PeerEvents MakePeerEvents();
+  ServedEvents MakeServedEvents();
   StateFrame MakeState();
   // False: the frame is of a known type and cannot be decoded.
   bool OnCallFrame(const PeerLinkPointer& link, const RawFrame& frame);
-  bool OnBlameFrame(const PeerLinkPointer& link, const RawFrame& frame);
+  bool OnQuarantineFrame(const PeerLinkPointer& link, const RawFrame& frame);
   bool OnAnswerFrame(const PeerPointer& peer, const RawFrame& frame);
-  void OnState(const PeerPointer& peer);
+  void OnPeerConnected(const PeerPointer& peer);
   void AcknowledgeLeave(std::function<void()> acknowledge);
-  void RunAcks(Millis now, const std::optional<ReportNumber>& seen);
+  void RunPendingAcks(Millis now, const std::optional<ReportId>& seen);
   void LogInstance() const;
   void ScheduleTick();
   void Tick();
   void ContinueStop(Millis now);
-  void NoteSlotTime();
+  void AddSlotTime();
   void WriteChains(MetricText& out) const;
 
   boost::asio::io_context& loop;
@@ -163,21 +166,21 @@
   boost::asio::steady_timer tick_timer;
   std::string policy_text;
   /// When the policy in force was taken.
-  Millis policy_taken;
+  Millis policy_applied_at;
   std::vector<PendingAck> pending_acks;
   /// Least difference between the clocks of a link's ends, to tell frames that
   /// were held up.
-  std::map<LinkId, std::int64_t> clock_offsets;
+  std::map<LinkId, std::int64_t> min_clock_offsets;
   std::uint32_t ticks = 0;
   /// Slot time that there was, and that was used, while requests were refused
   /// for want of the target beside this node.
-  double short_there_s = 0;
+  double short_available_s = 0;
   double short_used_s = 0;
   Millis stop_started;
   /// Until a read has failed it is taken for readable.
   bool has_source = true;
   bool is_stopping = false;
-  bool is_leaving_told = false;
+  bool is_stop_announced = false;
   bool is_stopped = false;
 };
 
--- a/libs/relay/include/almondlink/relay/served_calls.h
+++ b/libs/relay/include/almondlink/relay/served_calls.h
@@ -30,7 +30,7 @@
 
 /// Where an answer goes: the link that the call came by, or 0 for this node.
 using LinkId = std::uint64_t;
-constexpr LinkId kOwnNode = 0;
+constexpr LinkId kLocalLink = 0;
 
 /// What is known of a running request, for the calls that it makes.
 struct RunInfo {
@@ -55,7 +55,7 @@
   /// The process of that start of the target is gone; `running`: calls that
   /// ended with it.
   std::function<void(const control::InstanceStart& start, std::size_t running)>
-      on_target_ended;
+      on_target_crashed;
 };
 
 /// Counters for metrics; all only grow.
@@ -67,7 +67,7 @@
   std::uint64_t broken = 0;
   std::uint64_t cancelled = 0;
   /// Starts of the target whose process was found gone.
-  std::uint64_t target_ends = 0;
+  std::uint64_t target_crashes = 0;
 };
 
 /// Not thread safe: belongs to one loop.
@@ -86,11 +86,11 @@
   void SetTargetAddress(const boost::asio::ip::tcp::endpoint& address);
 
   /// Part of the target's slots that is used.
-  void SetUsablePart(double part) { this->ledger.usable_part = part; }
+  void SetUsableShare(double part) { this->ledger.usable_part = part; }
 
-  /// Takes a call; exactly one answer follows unless it is cancelled. `held`:
-  /// time that the frame was held up on its way.
-  void OnCall(LinkId link, const CallFrame& frame, Millis held);
+  /// Takes a call; exactly one answer follows unless it is cancelled.
+  /// `transit_delay`: time that the frame was transit_delay up on its way.
+  void OnCall(LinkId link, const CallFrame& frame, Millis transit_delay);
   void OnCancel(LinkId link, std::uint32_t id);
   void OnWindow(LinkId link, std::uint32_t id, std::uint32_t bytes);
   void OnLinkClosed(LinkId link);
@@ -98,35 +98,36 @@
   /// Reports of the instance; see control/instance_ledger.h.
   control::ReportEffect OnReport(const control::InstanceReport& report);
   control::ReportEffect OnLeave(const control::InstanceStart& start);
-  control::ReportEffect Remember(const control::InstanceStart& start);
+  control::ReportEffect RestoreDraining(const control::InstanceStart& start);
 
   /// The run of the target that `request_id` belongs to, if it is running.
   std::optional<RunInfo> FindRun(const std::string& request_id) const;
 
   /// A running request of the target made a call.
-  void NoteCallOfRun() { ++this->calls_of_runs.events; }
+  void CountCallOfRun() { ++this->calls_of_runs.events; }
   /// A call that a running request made has ended; `ran` ran for it.
-  void AddToRun(const std::string& request_id, const control::CallCounts& ran);
+  void AddRunCounts(const std::string& request_id,
+                    const control::CallCounts& ran);
   /// Runs at `service` that the calls of a running request have led to so far.
-  std::uint32_t RanForRun(const std::string& request_id,
-                          const std::string& service) const;
+  std::uint32_t CountRunsAt(const std::string& request_id,
+                            const std::string& service) const;
   /// Calls that a run makes, on average over the last seconds.
   double CallsPerRun() const;
 
   /// Part of the target's answers that are failures of its own, now.
-  double Erring() const;
+  double ErrorRate() const;
 
   /// Time-outs and the meter; call every few tens of milliseconds.
   void Sweep(Millis now);
 
   const control::InstanceLedger& Ledger() const { return this->ledger; }
   /// Whether the process of the target is known to be gone.
-  bool IsGone() const { return this->is_gone; }
+  bool IsTargetGone() const { return this->is_target_gone; }
   const control::DemandMeter& Meter() const { return this->meter; }
   const ServedCounters& Counters() const { return this->counters; }
   std::uint32_t Running() const { return this->running; }
   std::uint32_t Waiting() const;
-  std::uint64_t Connects() const { return this->pool.Connects(); }
+  std::uint64_t ConnectCount() const { return this->pool.ConnectCount(); }
 
  private:
   struct Call;
@@ -135,9 +136,9 @@
   /// Priority, then depth (deeper first), then arrival.
   using Order = std::tuple<std::uint8_t, int, std::uint64_t>;
 
-  void Fill(Millis now);
+  void FillSlots(Millis now);
   void Dispatch(Millis now, const CallPointer& call);
-  void TellLoad(AnswerFrame& answer) const;
+  void SetLoad(AnswerFrame& answer) const;
   TargetRequest MakeRequest(Call& call, Millis left) const;
   void OnAnswer(const CallPointer& call,
                 const AnswerHead& head,
@@ -148,20 +149,20 @@
               bool is_last,
               bool is_broken);
   void EndRun(const CallPointer& call);
-  void EndRunsOfEarlierStart();
-  void Break(const CallPointer& call);
-  void BreakAnswer(const CallPointer& call, bool is_target_ended);
-  void NoteLeft(Millis now, const CallPointer& call);
-  void TellLeft();
-  void FindOut();
-  void EndDoubt(bool is_refused);
-  bool IsEnd(bool is_refused) const;
-  void Sample(const Call& call, LatencyMs work);
+  void EndRunsOfPreviousIncarnation();
+  void OnConnectionLost(const CallPointer& call);
+  void EndPartialAnswer(const CallPointer& call, bool is_target_ended);
+  void RecordCancelled(Millis now, const CallPointer& call);
+  void ReportCancelled();
+  void StartCrashCheck();
+  void FinishCrashCheck(bool is_refused);
+  bool IsCrash(bool is_refused) const;
+  void RecordWorkTime(const Call& call, LatencyMs work);
   void Reject(const CallPointer& call, CallReason reason);
   void SendOutcome(const CallPointer& call,
                    CallOutcome outcome,
                    CallReason reason);
-  CallReason WhyNotServed(Millis now, const CallFrame& frame) const;
+  CallReason ReasonToReject(Millis now, const CallFrame& frame) const;
   bool IsPastDrain(Millis now) const;
 
   const HeaderNames& names;
@@ -177,18 +178,18 @@
   std::unordered_map<std::string, CallPointer> runs;
   /// Calls whose connection closed without an answer, while it is found out
   /// whether the target's process is gone.
-  std::vector<CallPointer> doubted;
-  bool is_finding_out = false;
+  std::vector<CallPointer> awaiting_crash_check;
+  bool is_checking_crash = false;
   /// Calls that were cancelled while they ran: their target may yet end under
   /// them.
-  struct LeftCall {
+  struct CancelledCall {
     LinkId link = 0;
     std::uint32_t id = 0;
     Millis at;
   };
-  std::deque<LeftCall> left;
+  std::deque<CancelledCall> recently_cancelled;
   /// The target's process is gone; until it reports again.
-  bool is_gone = false;
+  bool is_target_gone = false;
   std::uint64_t arrivals = 0;
   std::uint32_t running = 0;
   Millis last_sweep;
--- a/libs/relay/include/almondlink/relay/socket_options.h
+++ b/libs/relay/include/almondlink/relay/socket_options.h
@@ -11,11 +11,11 @@
 /// bytes are not acknowledged within `silence`: open connections can lose their
 /// other end without a reset. Errors are ignored: a closed socket fails at its
 /// next use.
-void PrepareSocket(boost::asio::ip::tcp::socket& socket, Millis silence);
+void ConfigureSocket(boost::asio::ip::tcp::socket& socket, Millis ack_timeout);
 
 /// Whether a socket could not be had because descriptors or buffers are short:
 /// the same call may succeed later, and fails at once until then.
-bool IsShortage(const boost::system::error_code& error);
+bool IsResourceShortage(const boost::system::error_code& error);
 
 }  // namespace almondlink::relay
 
--- a/libs/relay/include/almondlink/relay/target_pool.h
+++ b/libs/relay/include/almondlink/relay/target_pool.h
@@ -68,7 +68,7 @@
   static void Cancel(const TargetExchange& exchange);
 
   /// `bytes` of the answer were taken by the one they are for.
-  static void Taken(const TargetExchange& exchange, std::size_t bytes);
+  static void OnConsumed(const TargetExchange& exchange, std::size_t bytes);
 
   /// Closes idle connections before the target does, and connects that take
   /// too long; call a few times a second.
@@ -79,13 +79,13 @@
 
   /// Tells once, within a tenth of a second, whether the target's process is
   /// gone for sure.
-  void WhenGone(std::function<void(bool is_gone)> done) const;
+  void CheckProcessGone(std::function<void(bool is_gone)> done) const;
 
   /// Whether any idle connection is open.
   bool HasOpenIdle() const;
 
   /// New connections made so far, for metrics.
-  std::uint64_t Connects() const;
+  std::uint64_t ConnectCount() const;
 
   struct State;
 
--- a/libs/relay/include/almondlink/relay/target_probe.h
+++ b/libs/relay/include/almondlink/relay/target_probe.h
@@ -12,11 +12,11 @@
 /// there.
 namespace almondlink::relay {
 
-enum class TargetPresence {
+enum class TargetProbeResult {
   /// Somebody listens.
-  kThere,
+  kListening,
   /// Nobody does.
-  kGone,
+  kNotListening,
   /// No word in time.
   kUnknown,
 };
@@ -25,7 +25,7 @@
 /// tenth of a second.
 void ProbeTarget(boost::asio::io_context& loop,
                  const boost::asio::ip::tcp::endpoint& address,
-                 std::function<void(TargetPresence)> done);
+                 std::function<void(TargetProbeResult)> done);
 
 }  // namespace almondlink::relay
 
--- a/libs/relay/src/caller_port.cc
+++ b/libs/relay/src/caller_port.cc
@@ -130,7 +130,7 @@
     if (!state->acceptor.is_open()) {
       return;
     }
-    if (IsShortage(error) && state->CloseLongestIdle() == 0) {
+    if (IsResourceShortage(error) && state->CloseLongestIdle() == 0) {
       // All are in work: the next one waits in the kernel's queue.
       AcceptLater(state);
       return;
--- a/libs/relay/src/caller_session.cc
+++ b/libs/relay/src/caller_session.cc
@@ -39,7 +39,7 @@
       last_active(BootTimeNow()) {}
 
 void CallerSession::Start() {
-  PrepareSocket(this->socket, kSilence);
+  ConfigureSocket(this->socket, kSilence);
   this->Read();
 }
 
--- a/libs/relay/src/entry_accounts.cc
+++ b/libs/relay/src/entry_accounts.cc
@@ -134,7 +134,7 @@
 
 /// Notes whether the source of the policy is in reach.
 void EntryCalls::NoteSource(Millis now) {
-  if (this->peers.IsInTouchWithSource()) {
+  if (this->peers.HasAccessToSource()) {
     this->vouched = now;
   }
 }
@@ -145,7 +145,7 @@
   const bool is_told = std::any_of(
       this->peers.All().begin(), this->peers.All().end(),
       [own](const PeerPointer& peer) {
-        return peer->IsReachable() && peer->told.policy_version > own;
+        return peer->IsReachable() && peer->reported.policy_version > own;
       });
   return is_told || BootTimeNow() - this->vouched > kUnsureAfter;
 }
@@ -175,7 +175,7 @@
     return true;
   }
   const policy::ClientAccount& account = *call->account;
-  switch (this->quotas.Take(account, call->arrived)) {
+  switch (this->quotas.TakeToken(account, call->arrived)) {
     case control::QuotaAnswer::kTaken:
       call->has_token = true;
       return true;
@@ -185,7 +185,7 @@
     case control::QuotaAnswer::kAsk:
       break;
   }
-  const std::int64_t part = this->quotas.MayBeUnsettled(call->arrived)
+  const std::int64_t part = this->quotas.IsStartingUp(call->arrived)
                                 ? kStartWaitPart
                                 : kQuotaWaitPart;
   call->quota_until =
@@ -195,8 +195,8 @@
   this->Open(call);
   std::deque<std::weak_ptr<Call>>& waiters = this->quota_waiters[account.key];
   waiters.push_back(call);
-  this->quotas.Ask(account, static_cast<std::uint32_t>(waiters.size()),
-                   call->arrived);
+  this->quotas.RequestTokens(
+      account, static_cast<std::uint32_t>(waiters.size()), call->arrived);
   return false;
 }
 
@@ -215,16 +215,16 @@
       waiters.pop_front();
       continue;
     }
-    if (this->quotas.TakeForWaiting(*call->account, now)) {
+    if (this->quotas.TakeTokenForQueued(*call->account, now)) {
       waiters.pop_front();
       call->has_token = true;
       this->Admit(call);
       continue;
     }
-    const bool is_over = this->quotas.IsEmpty(*call->account, now);
+    const bool is_over = this->quotas.IsExhausted(*call->account, now);
     if (!is_over && now < call->quota_until) {
-      this->quotas.Ask(*call->account,
-                       static_cast<std::uint32_t>(waiters.size()), now);
+      this->quotas.RequestTokens(
+          *call->account, static_cast<std::uint32_t>(waiters.size()), now);
       return;
     }
     waiters.pop_front();
@@ -251,8 +251,8 @@
 
 void EntryCalls::RefuseOverQuota(const CallPointer& call) {
   const policy::ClientAccount& account = *call->account;
-  const Millis told = this->quotas.WaitOf(account);
-  const bool is_over = !this->quotas.IsSilent(account, BootTimeNow());
+  const Millis told = this->quotas.TimeUntilToken(account);
+  const bool is_over = !this->quotas.IsLenderSilent(account, BootTimeNow());
   // Spread, so that those refused together do not return together.
   const Millis wait =
       std::max(kShortestReturn,
@@ -262,18 +262,20 @@
   this->NoteEnd(*call, is_over ? RequestEnd::kOverQuota : RequestEnd::kNotRun,
                 CallReason::kNone);
   if (WouldLog(kEventOverQuota)) {
-    LogEvent(kEventOverQuota,
-             {{"request", call->head.id},
-              {"status", std::to_string(status)},
-              {"reason", is_over ? "over" : "lender-silent"},
-              {"account", account.name},
-              {"lender", this->quotas.LenderOf(account)},
-              {"limit_per_s", std::to_string(account.limit.per_s)},
-              {"burst", std::to_string(account.limit.burst)},
-              {"demand_per_s", std::to_string(this->quotas.DemandOf(account))},
-              {"lent_per_s", std::to_string(this->quotas.LentOf(account))},
-              {"version", std::to_string(call->table->version)},
-              {"retry_after_ms", std::to_string(wait.count)}});
+    LogEvent(
+        kEventOverQuota,
+        {{"request", call->head.id},
+         {"status", std::to_string(status)},
+         {"reason", is_over ? "over" : "lender-silent"},
+         {"account", account.name},
+         {"lender", this->quotas.LenderOf(account)},
+         {"limit_per_s", std::to_string(account.limit.per_s)},
+         {"burst", std::to_string(account.limit.burst)},
+         {"demand_per_s",
+          std::to_string(this->quotas.DemandPerSecond(account))},
+         {"lent_per_s", std::to_string(this->quotas.LentPerSecond(account))},
+         {"version", std::to_string(call->table->version)},
+         {"retry_after_ms", std::to_string(wait.count)}});
   }
   call->exchange->Answer(status, StatusText(status), RetryAfterField(wait), "");
 }
--- a/libs/relay/src/entry_admission.cc
+++ b/libs/relay/src/entry_admission.cc
@@ -89,7 +89,7 @@
     if (!peer->IsReachable()) {
       continue;
     }
-    const StateFrame& told = peer->told;
+    const StateFrame& told = peer->reported;
     const std::vector<control::RootRate> rates =
         peer->is_self ? control::OwnRates(this->admission) : told.roots;
     for (const control::RootRate& rate : rates) {
@@ -107,7 +107,7 @@
     }
     target.waiting = told.waiting;
     target.work_ms = told.work_ms;
-    target.erring = counts_errors ? told.erring : 0;
+    target.erring = counts_errors ? told.error_rate : 0;
     target.demand = told.demand;
     control::ServiceRoom& room = rooms[told.service];
     room.service = told.service;
--- a/libs/relay/src/entry_attempts.cc
+++ b/libs/relay/src/entry_attempts.cc
@@ -33,8 +33,8 @@
 
 /// Whether calls may be sent to the target beside that node.
 bool EntryCalls::IsOpen(const Peer& peer) {
-  return peer.IsReachable() && !peer.is_suspect && !peer.told.is_stopping &&
-         peer.told.state == InstanceState::kReady;
+  return peer.IsReachable() && !peer.is_suspect && !peer.reported.is_stopping &&
+         peer.reported.state == InstanceState::kReady;
 }
 
 /// Where the call may go next: to a target that did not get it, while its route
@@ -50,24 +50,25 @@
 }
 
 PeerPointer EntryCalls::ChoosePeer(const Call& call, bool is_among_refused) {
-  const std::vector<PeerPointer>& members = this->peers.Of(call.service);
+  const std::vector<PeerPointer>& members =
+      this->peers.PeersOfService(call.service);
   std::vector<control::PlaceView> views;
   views.reserve(members.size());
   for (const PeerPointer& peer : members) {
     control::PlaceView view;
-    view.is_own_zone = peer->told.zone == this->settings.zone.Value();
+    view.is_own_zone = peer->reported.zone == this->settings.zone.Value();
     view.is_open = IsOpen(*peer);
     const std::vector<std::string>& names =
         is_among_refused ? call.refused_by : call.tried;
     const bool is_named =
         std::find(names.begin(), names.end(), peer->node.name) != names.end();
     view.is_tried = is_named != is_among_refused;
-    view.slots = std::max(1U, peer->told.slots);
-    view.told_load = peer->told.running + peer->told.waiting;
-    view.sent_since = peer->sent_since;
-    view.work_ms = peer->told.work_ms;
+    view.slots = std::max(1U, peer->reported.slots);
+    view.told_load = peer->reported.running + peer->reported.waiting;
+    view.sent_since = peer->sent_since_report;
+    view.work_ms = peer->reported.work_ms;
     view.health = peer->health;
-    view.erring = peer->told.erring;
+    view.erring = peer->reported.error_rate;
     views.push_back(view);
   }
   const control::PlaceDraws draws{this->Draw(), this->Draw(), this->Draw(),
@@ -84,7 +85,7 @@
     // A target that leaves still serves for a while; better than nobody.
     for (std::size_t i = 0; i < members.size(); ++i) {
       views[i].is_open = members[i]->IsReachable() &&
-                         members[i]->told.state == InstanceState::kDraining;
+                         members[i]->reported.state == InstanceState::kDraining;
     }
     place = control::ChoosePlace(rules, views, now, draws);
   }
@@ -167,15 +168,15 @@
   Assign(call, peer);
   call->tried.push_back(peer->node.name);
   call->chosen_load =
-      peer->told.running + peer->told.waiting + peer->sent_since;
-  call->chosen_slots = peer->told.slots;
-  call->chosen_age = now - peer->told_at;
-  ++peer->sent_since;
+      peer->reported.running + peer->reported.waiting + peer->sent_since_report;
+  call->chosen_slots = peer->reported.slots;
+  call->chosen_age = now - peer->reported_at;
+  ++peer->sent_since_report;
   control::NoteSent(now, peer->health);
   CallFrame frame;
   frame.id = call->id;
   frame.sent_ms = static_cast<std::uint64_t>(now.count);
-  frame.left_ms = static_cast<std::uint32_t>(left.count);
+  frame.remaining_ms = static_cast<std::uint32_t>(left.count);
   const Millis root_wait{call->route->latency_target.count / kRootWaitPart};
   frame.wait_ms = static_cast<std::uint32_t>(
       call->is_root ? std::min(left, root_wait).count : left.count);
@@ -185,7 +186,7 @@
   frame.priority = call->info.priority;
   frame.root_route = call->info.root_route;
   frame.root_hash = call->info.root_hash;
-  frame.instance = peer->told.instance;
+  frame.instance = peer->reported.instance;
   frame.caller_service = this->settings.service.Value();
   frame.request_id = call->head.id;
   frame.method = call->head.method;
@@ -204,21 +205,21 @@
     }
   }
   if (peer->is_self) {
-    this->served.OnCall(kOwnNode, frame, Millis{0});
+    this->served.OnCall(kLocalLink, frame, Millis{0});
     return;
   }
-  Append(frame, peer->link->Out());
-  peer->link->FlushSoon();
+  Append(frame, peer->link->OutputBuffer());
+  peer->link->ScheduleFlush();
 }
 
 void EntryCalls::OnAnswer(const PeerPointer& peer, const AnswerFrame& frame) {
-  peer->told.running = frame.running;
-  peer->told.waiting = frame.waiting;
-  peer->told.erring = frame.erring;
-  peer->sent_since = 0;
+  peer->reported.running = frame.running;
+  peer->reported.waiting = frame.waiting;
+  peer->reported.error_rate = frame.error_rate;
+  peer->sent_since_report = 0;
   const auto found = this->calls.find(frame.id);
   if (found == this->calls.end() || found->second->peer != peer) {
-    if (frame.reason == CallReason::kTargetEnded) {
+    if (frame.reason == CallReason::kTargetCrashed) {
       this->OnEndAfterLeft(peer, frame.id);
     }
     return;
@@ -226,7 +227,7 @@
   const CallPointer call = found->second;
   if (this->NoteOutcome(*call, peer, frame)) {
     LogEvent(kEventTargetSetAside,
-             {{"target", peer->told.instance}, {"node", peer->node.name}});
+             {{"target", peer->reported.instance}, {"node", peer->node.name}});
   }
   const bool is_refused = frame.outcome == CallOutcome::kRefusedByTarget &&
                           frame.status != kMisdirected;
@@ -240,7 +241,7 @@
   if (!frame.has_more) {
     this->NoteWholeRun(call);
   }
-  control::AddCounts(frame.ran, call->ran);
+  control::AddCounts(frame.run_counts, call->ran);
   const bool is_error = frame.status >= kServerError;
   control::NoteError(is_error, peer->health);
   const bool may_repeat = is_error && !frame.has_more &&
@@ -258,7 +259,7 @@
                  {{"request", call->head.id},
                   {"parent", this->ParentOf(*call)},
                   {"after", "status " + std::to_string(frame.status)},
-                  {"target", peer->told.instance}});
+                  {"target", peer->reported.instance}});
       }
       call->kept =
           KeptAnswer{frame.status, std::string(frame.status_text),
@@ -286,7 +287,7 @@
 double EntryCalls::FailingOfOthers(const Call& call, const PeerPointer& peer) {
   double sum = 0;
   std::uint32_t others = 0;
-  for (const PeerPointer& other : this->peers.Of(call.service)) {
+  for (const PeerPointer& other : this->peers.PeersOfService(call.service)) {
     if (other != peer && IsOpen(*other)) {
       sum += other->health.failing;
       ++others;
@@ -298,13 +299,13 @@
 void EntryCalls::OnFailedAttempt(const CallPointer& call,
                                  CallOutcome outcome,
                                  CallReason reason) {
-  if (reason == CallReason::kTargetEnded) {
+  if (reason == CallReason::kTargetCrashed) {
     this->NoteTargetEnd(call, call->peer);
   }
   this->EndTrial(call, "undecided");
   const Millis now = BootTimeNow();
   const std::string instance =
-      call->peer == nullptr ? std::string() : call->peer->told.instance;
+      call->peer == nullptr ? std::string() : call->peer->reported.instance;
   bool goes_on = false;
   if (outcome == CallOutcome::kNotSent) {
     const bool is_final =
@@ -401,7 +402,7 @@
     LogEvent(kEventSentAgain, {{"request", call->head.id},
                                {"parent", this->ParentOf(*call)},
                                {"after", "node-silent"},
-                               {"target", call->peer->told.instance}});
+                               {"target", call->peer->reported.instance}});
   }
   this->DropAttempt(call);
   this->SendTo(call, next);
@@ -414,10 +415,10 @@
     return;
   }
   if (peer->is_self) {
-    this->served.OnCancel(kOwnNode, call->id);
+    this->served.OnCancel(kLocalLink, call->id);
   } else if (peer->link != nullptr) {
-    AppendCancel(call->id, peer->link->Out());
-    peer->link->FlushSoon();
+    AppendCancel(call->id, peer->link->OutputBuffer());
+    peer->link->ScheduleFlush();
   }
 }
 
--- a/libs/relay/src/entry_blame.cc
+++ b/libs/relay/src/entry_blame.cc
@@ -46,24 +46,24 @@
 /// no target has ended lately.
 bool EntryCalls::MayBeBlamed(const Call& call) const {
   return !this->blame.IsEmpty() &&
-         !this->blame.IsBlank(PathHashOf(call.head.target));
+         !this->blame.IsPathUnknown(PathHashOf(call.head.target));
 }
 
 /// Whether the request runs on trial only, or not at all.
 bool EntryCalls::IsHeld(const Call& call) const {
   return this->MayBeBlamed(call) &&
-         this->blame.Judge(this->DigestOf(call), BootTimeNow()).step !=
+         this->blame.Decide(this->DigestOf(call), BootTimeNow()).step !=
              control::BlameStep::kGo;
 }
 
 void EntryCalls::NoteTargetEnd(const CallPointer& call,
                                const PeerPointer& peer) {
-  const StateFrame& target = peer->told;
+  const StateFrame& target = peer->reported;
   const Millis now = BootTimeNow();
   const control::RequestDigest digest = this->DigestOf(*call);
-  const control::TargetEnd end{StableHash(target.instance, target.born),
+  const control::TargetEnd end{StableHash(target.instance, target.started_at),
                                call->is_on_trial};
-  const bool is_new = this->blame.NoteTargetEnd(digest, end, now);
+  const bool is_new = this->blame.RecordTargetCrash(digest, end, now);
   const control::BlameRecord* record = this->blame.Find(digest);
   if (is_new && record != nullptr && WouldLog(kEventUnderWayAtEnd)) {
     LogEvent(kEventUnderWayAtEnd,
@@ -104,13 +104,13 @@
 
 void EntryCalls::NoteWholeRun(const CallPointer& call) {
   if (this->MayBeBlamed(*call)) {
-    this->blame.NoteWholeRun(this->DigestOf(*call));
+    this->blame.RecordCompletedRun(this->DigestOf(*call));
   }
   this->EndTrial(call, "whole");
 }
 
 bool EntryCalls::HasOpenTarget(const std::string& service) {
-  const std::vector<PeerPointer>& members = this->peers.Of(service);
+  const std::vector<PeerPointer>& members = this->peers.PeersOfService(service);
   return std::any_of(members.begin(), members.end(),
                      [](const PeerPointer& peer) { return IsOpen(*peer); });
 }
@@ -123,7 +123,7 @@
   }
   const Millis now = BootTimeNow();
   const control::RequestDigest digest = this->DigestOf(*call);
-  const control::BlameVerdict verdict = this->blame.Judge(digest, now);
+  const control::BlameVerdict verdict = this->blame.Decide(digest, now);
   if (verdict.step == control::BlameStep::kGo) {
     return true;
   }
@@ -146,11 +146,11 @@
   call->held_as = digest;
   if (call->peer != nullptr) {
     // What becomes of that node from now on does not concern the call.
-    call->last_target = call->peer->told.instance;
+    call->last_target = call->peer->reported.instance;
     Assign(call, nullptr);
   }
   this->waiting.push_back(call);
-  this->blame.AskTrial(digest, call->service, call->deadline - now, now);
+  this->blame.RequestTrial(digest, call->service, call->deadline - now, now);
   return false;
 }
 
@@ -175,11 +175,11 @@
          {"wait_ms", std::to_string(wait.count)}});
   }
   if (call->may_have_run) {
-    this->FinishFailed(call, CallReason::kEndsTargets);
+    this->FinishFailed(call, CallReason::kQuarantined);
     return;
   }
   this->Finish(call);
-  this->RefuseNotRun(call, CallReason::kEndsTargets,
+  this->RefuseNotRun(call, CallReason::kQuarantined,
                      wait > Millis{0} ? wait : this->RetryAfter(*call));
 }
 
@@ -194,7 +194,7 @@
     // Permitted by a node that knows more: its permit runs out.
     return;
   }
-  const std::string& service = (*place)->told.service;
+  const std::string& service = (*place)->reported.service;
   const auto held = std::find_if(
       this->waiting.begin(), this->waiting.end(),
       [this, &digest, &service](const std::weak_ptr<Call>& entry) {
@@ -213,7 +213,7 @@
   LogEvent(kEventTrialBegun, {{"digest", control::ToString(digest)},
                               {"request", call->head.id},
                               {"route", call->route->name},
-                              {"target", (*place)->told.instance},
+                              {"target", (*place)->reported.instance},
                               {"node", node}});
   this->SendTo(call, *place);
 }
--- a/libs/relay/src/entry_calls.cc
+++ b/libs/relay/src/entry_calls.cc
@@ -154,7 +154,7 @@
   const std::optional<RunInfo> run = this->served.FindRun(std::string(parent));
   call->is_of_run = run.has_value();
   if (run.has_value()) {
-    this->served.NoteCallOfRun();
+    this->served.CountCallOfRun();
     call->info = *run;
     call->deadline = std::min(call->deadline, run->deadline);
   }
--- a/libs/relay/src/entry_ends.cc
+++ b/libs/relay/src/entry_ends.cc
@@ -32,7 +32,7 @@
              {{"request", call->head.id},
               {"parent", this->ParentOf(*call)},
               {"route", call->route->name},
-              {"target", call->peer->told.instance},
+              {"target", call->peer->reported.instance},
               {"status", std::to_string(frame.status)},
               {"attempts", std::to_string(call->attempts + 1)},
               {"load", std::to_string(call->chosen_load)},
@@ -56,12 +56,12 @@
       return;
     }
     if (open->peer->is_self) {
-      this->served.OnWindow(kOwnNode, open->id,
+      this->served.OnWindow(kLocalLink, open->id,
                             static_cast<std::uint32_t>(bytes));
     } else if (open->peer->link != nullptr) {
       Append(WindowFrame{open->id, static_cast<std::uint32_t>(bytes)},
-             open->peer->link->Out());
-      open->peer->link->FlushSoon();
+             open->peer->link->OutputBuffer());
+      open->peer->link->ScheduleFlush();
     }
   };
   call->exchange->BeginLong(frame.status, frame.status_text, frame.fields,
@@ -78,7 +78,7 @@
   if (frame.is_last) {
     if (!frame.is_broken) {
       this->NoteWholeRun(call);
-    } else if (frame.is_target_ended) {
+    } else if (frame.is_target_crashed) {
       this->NoteTargetEnd(call, peer);
     }
     const CallerExchangePointer exchange = call->exchange;
@@ -89,7 +89,7 @@
 
 void EntryCalls::FinishFailed(const CallPointer& call, CallReason reason) {
   if (call->peer != nullptr) {
-    call->last_target = call->peer->told.instance;
+    call->last_target = call->peer->reported.instance;
   }
   this->Finish(call);
   if (call->kept.has_value()) {
@@ -127,7 +127,7 @@
                               Millis wait) {
   if (call->has_token) {
     call->has_token = false;
-    this->quotas.GiveBack(*call->account, BootTimeNow());
+    this->quotas.ReturnToken(*call->account, BootTimeNow());
   }
   // A refusal at entry has a line of its own.
   const bool is_new = !call->is_refused_at_entry;
@@ -168,7 +168,7 @@
   if (call.is_root) {
     control::NoteChain(call.info.root_route, call.ran, this->admission.chains);
   } else {
-    this->served.AddToRun(this->ParentOf(call), call.ran);
+    this->served.AddRunCounts(this->ParentOf(call), call.ran);
   }
 }
 
--- a/libs/relay/src/entry_repeats.cc
+++ b/libs/relay/src/entry_repeats.cc
@@ -82,7 +82,7 @@
     if (peer->is_self || !peer->IsReachable()) {
       continue;
     }
-    for (const ServiceRepeats& entry : peer->told.repeats) {
+    for (const ServiceRepeats& entry : peer->reported.repeats) {
       if (entry.service == key) {
         sums.now += entry.counts.now;
         sums.half_before += entry.counts.half_before;
@@ -104,7 +104,7 @@
   }
   double sum = 0;
   std::uint32_t others = 0;
-  for (const PeerPointer& other : this->peers.Of(call.service)) {
+  for (const PeerPointer& other : this->peers.PeersOfService(call.service)) {
     if (other != peer && IsOpen(*other)) {
       sum += other->health.erring;
       ++others;
@@ -116,8 +116,8 @@
 /// Calls that a run of the service makes, at the target that makes most.
 double EntryCalls::CallsPerRun(const std::string& service) {
   double calls = 0;
-  for (const PeerPointer& peer : this->peers.Of(service)) {
-    calls = std::max(calls, peer->told.calls_per_run);
+  for (const PeerPointer& peer : this->peers.PeersOfService(service)) {
+    calls = std::max(calls, peer->reported.calls_per_run);
   }
   return calls;
 }
@@ -137,7 +137,7 @@
   want.priority = call.info.priority;
   want.calls =
       calls == this->admission.calls_seen.end() ? 1 : calls->second.per_root;
-  want.done = this->served.RanForRun(this->ParentOf(call), call.service);
+  want.done = this->served.CountRunsAt(this->ParentOf(call), call.service);
   want.root_hash = call.info.root_hash;
   const double place = control::RepeatPlace(want);
   if (!control::HasSharedRoom(rules, this->SharedCounts(now, call.service)) ||
--- a/libs/relay/src/frame_codec.h
+++ b/libs/relay/src/frame_codec.h
@@ -14,14 +14,14 @@
 /// Writing and reading the fields of frames (almondlink/relay/peer_frames.h).
 namespace almondlink::relay {
 
-constexpr std::size_t kHeadSize = 5;
+constexpr std::size_t kHeaderSize = 5;
 /// Fractions travel as whole thousandths.
-constexpr double kThousand = 1000;
+constexpr double kFractionScale = 1000;
 /// In short form as whole hundredths: a rate or time is not known better.
-constexpr double kHundred = 100;
-constexpr std::uint64_t kGroup = 128;
+constexpr double kVarintFractionScale = 100;
+constexpr std::uint64_t kVarintBase = 128;
 /// No rate or time comes near it, and below it a fraction keeps its digits.
-constexpr std::uint64_t kMostFraction = 1ULL << 48;
+constexpr std::uint64_t kMaxVarintFraction = 1ULL << 48;
 
 /// Writes one frame; the length is filled in at the end.
 class Writer {
@@ -53,19 +53,20 @@
     this->out.append(text);
   }
   /// A number in groups of seven bits, the lowest first: small ones are short.
-  void PutShort(std::uint64_t number) {
-    while (number >= kGroup) {
-      this->PutByte(static_cast<std::uint8_t>(number % kGroup + kGroup));
-      number /= kGroup;
+  void PutVarint(std::uint64_t number) {
+    while (number >= kVarintBase) {
+      this->PutByte(
+          static_cast<std::uint8_t>(number % kVarintBase + kVarintBase));
+      number /= kVarintBase;
     }
     this->PutByte(static_cast<std::uint8_t>(number));
   }
-  void PutShortFraction(double value) {
-    this->PutShort(static_cast<std::uint64_t>(
-        std::llround(std::max(0.0, value) * kHundred)));
+  void PutVarintFraction(double value) {
+    this->PutVarint(static_cast<std::uint64_t>(
+        std::llround(std::max(0.0, value) * kVarintFractionScale)));
   }
   void PutFraction(double value) {
-    this->Put(static_cast<std::uint32_t>(std::lround(value * kThousand)));
+    this->Put(static_cast<std::uint32_t>(std::lround(value * kFractionScale)));
   }
 
  private:
@@ -109,34 +110,34 @@
     this->TakeText(view);
     text.assign(view);
   }
-  std::uint64_t TakeShort() {
-    constexpr int kMostBits = 63;
+  std::uint64_t TakeVarint() {
+    constexpr int kMaxBits = 63;
     std::uint64_t number = 0;
-    for (int bits = 0; bits < kMostBits; bits += 7) {
+    for (int bits = 0; bits < kMaxBits; bits += 7) {
       const std::uint8_t byte = this->TakeByte();
-      number |= static_cast<std::uint64_t>(byte % kGroup) << bits;
-      if (byte < kGroup) {
+      number |= static_cast<std::uint64_t>(byte % kVarintBase) << bits;
+      if (byte < kVarintBase) {
         return number;
       }
     }
     this->is_good = false;
     return 0;
   }
-  std::uint32_t TakeShortNumber() {
-    const std::uint64_t number = this->TakeShort();
+  std::uint32_t TakeVarint32() {
+    const std::uint64_t number = this->TakeVarint();
     this->is_good =
         this->is_good && number <= std::numeric_limits<std::uint32_t>::max();
     return static_cast<std::uint32_t>(number);
   }
-  double TakeShortFraction() {
-    const std::uint64_t number = this->TakeShort();
-    this->is_good = this->is_good && number < kMostFraction;
-    return static_cast<double>(number) / kHundred;
+  double TakeVarintFraction() {
+    const std::uint64_t number = this->TakeVarint();
+    this->is_good = this->is_good && number < kMaxVarintFraction;
+    return static_cast<double>(number) / kVarintFractionScale;
   }
   double TakeFraction() {
     std::uint32_t value = 0;
     this->Take(value);
-    return value / kThousand;
+    return value / kFractionScale;
   }
   /// Entries of a list; a count that the payload cannot hold is refused.
   std::uint32_t TakeCount() {
@@ -149,8 +150,8 @@
     return count;
   }
   /// The same for a count that was written short.
-  std::size_t TakeShortCount() {
-    const std::uint64_t count = this->TakeShort();
+  std::size_t TakeVarintCount() {
+    const std::uint64_t count = this->TakeVarint();
     if (count > this->rest.size()) {
       this->is_good = false;
       return 0;
@@ -167,8 +168,8 @@
 
 /// Part of a target's answers that are its own failures; an older node says
 /// nothing of it.
-inline double TakeErring(Reader& in) {
-  return in.IsAtEnd() ? 0 : std::min(1.0, in.TakeShortFraction());
+inline double TakeErrorRate(Reader& in) {
+  return in.IsAtEnd() ? 0 : std::min(1.0, in.TakeVarintFraction());
 }
 
 inline void PutAddress(const NodeAddress& node, Writer& out) {
--- a/libs/relay/src/frame_dispatch.cc
+++ b/libs/relay/src/frame_dispatch.cc
@@ -15,13 +15,13 @@
       }
       const std::int64_t offset =
           BootTimeNow().count - static_cast<std::int64_t>(call.sent_ms);
-      const auto [known, is_new] =
-          this->clock_offsets.emplace(link->Id(), offset);
-      known->second = std::min(known->second, offset);
-      const Millis held{offset - known->second};
+      const auto [min_offset, is_new] =
+          this->min_clock_offsets.emplace(link->Id(), offset);
+      min_offset->second = std::min(min_offset->second, offset);
+      const Millis transit_delay{offset - min_offset->second};
       this->served.OnCall(
           link->Id(), call,
-          this->settings.decisions.has_held_frames ? held : Millis{0});
+          this->settings.decisions.has_held_frames ? transit_delay : Millis{0});
       return true;
     }
     case FrameType::kCancel: {
@@ -40,18 +40,18 @@
       this->served.OnWindow(link->Id(), window.id, window.bytes);
       return true;
     }
-    case FrameType::kQuotaAsk: {
-      QuotaAskFrame ask;
+    case FrameType::kQuotaRequest: {
+      QuotaRequestFrame ask;
       if (!Decode(frame.payload, ask)) {
         return false;
       }
-      this->entry.Quotas().OnAsk(link, ask);
+      this->entry.Quotas().OnQuotaRequest(link, ask);
       return true;
     }
-    case FrameType::kBlame:
-    case FrameType::kTrialAsk:
-    case FrameType::kTrialOver:
-      return this->OnBlameFrame(link, frame);
+    case FrameType::kQuarantine:
+    case FrameType::kTrialRequest:
+    case FrameType::kTrialEnded:
+      return this->OnQuarantineFrame(link, frame);
     default:
       // A newer node's frame; it does without an answer.
       return true;
@@ -59,19 +59,20 @@
 }
 
 /// What other nodes know of requests that targets ended under, and ask for.
-bool RelayNode::OnBlameFrame(const PeerLinkPointer& link,
-                             const RawFrame& frame) {
-  BlameExchange& blame = this->entry.Blame();
-  BlameFrame news;
-  TrialAskFrame ask;
-  TrialOverFrame over;
-  if (frame.type == FrameType::kBlame && Decode(frame.payload, news)) {
-    blame.OnNews(news);
-  } else if (frame.type == FrameType::kTrialAsk && Decode(frame.payload, ask)) {
-    blame.OnAsk(link, ask);
-  } else if (frame.type == FrameType::kTrialOver &&
+bool RelayNode::OnQuarantineFrame(const PeerLinkPointer& link,
+                                  const RawFrame& frame) {
+  QuarantineExchange& blame = this->entry.Blame();
+  QuarantineFrame update;
+  TrialRequestFrame ask;
+  TrialEndedFrame over;
+  if (frame.type == FrameType::kQuarantine && Decode(frame.payload, update)) {
+    blame.OnUpdates(update);
+  } else if (frame.type == FrameType::kTrialRequest &&
+             Decode(frame.payload, ask)) {
+    blame.OnTrialRequest(link, ask);
+  } else if (frame.type == FrameType::kTrialEnded &&
              Decode(frame.payload, over)) {
-    blame.OnOver(over);
+    blame.OnTrialEnded(over);
   } else {
     return false;
   }
@@ -104,12 +105,12 @@
       this->entry.Quotas().OnLoan(loan);
       return true;
     }
-    case FrameType::kTrialAnswer: {
-      TrialAnswerFrame answer;
+    case FrameType::kTrialResponse: {
+      TrialResponseFrame answer;
       if (!Decode(frame.payload, answer)) {
         return false;
       }
-      this->entry.Blame().OnPermitted(answer);
+      this->entry.Blame().OnTrialResponse(answer);
       return true;
     }
     default:
--- a/libs/relay/src/node_metrics.cc
+++ b/libs/relay/src/node_metrics.cc
@@ -21,10 +21,10 @@
                 control::UsableSlots(served.Ledger()));
   out.AddSingle("target_connects_total", "counter",
                 "New connections to the target.",
-                static_cast<double>(served.Connects()));
+                static_cast<double>(served.ConnectCount()));
   out.AddSingle("target_ends_total", "counter",
                 "Starts of the target whose process ended under calls.",
-                static_cast<double>(served.Counters().target_ends));
+                static_cast<double>(served.Counters().target_crashes));
 }
 
 void WriteRepeats(const std::map<std::string, control::RepeatRoom>& rooms,
@@ -46,10 +46,10 @@
   }
 }
 
-void WriteBlame(const EntryCalls& entry,
-                const control::BlameTable& table,
-                MetricText& out) {
-  const control::BlameRules& rules = BlameExchange::Rules();
+void WriteQuarantine(const EntryCalls& entry,
+                     const control::BlameTable& table,
+                     MetricText& out) {
+  const control::BlameRules& rules = QuarantineExchange::Rules();
   const auto held = std::count_if(
       table.records.begin(), table.records.end(), [&rules](const auto& known) {
         return control::IsSuspect(rules, known.second);
@@ -86,14 +86,14 @@
         [holds](const PeerPointer& peer) { return holds(*peer); }));
   };
   out.AddSingle("peers", "gauge", "Nodes that can be reached, with this one.",
-                peers.CountLive());
+                peers.CountReachable());
   out.AddSingle("peers_suspect", "gauge",
                 "Nodes that are silent while calls are out.",
                 count([](const Peer& peer) { return peer.is_suspect; }));
   out.AddSingle("open_targets", "gauge", "Targets that take calls.",
                 count([](const Peer& peer) {
                   return peer.IsReachable() &&
-                         peer.told.state == InstanceState::kReady;
+                         peer.reported.state == InstanceState::kReady;
                 }));
 }
 
@@ -110,7 +110,7 @@
   }
   out.Begin("short_slot_seconds_total", "counter",
             "Slot time while requests were refused for want of this target.");
-  out.Add("part=\"there\"", this->short_there_s);
+  out.Add("part=\"there\"", this->short_available_s);
   out.Add("part=\"used\"", this->short_used_s);
   out.Begin("admitted_share", "gauge", "Part of the root requests let in.");
   for (const auto& [key, share] : this->entry.Admission().routes) {
@@ -119,7 +119,7 @@
   this->WriteChains(out);
   WriteTarget(this->served, out);
   WritePeers(this->peers, out);
-  WriteBlame(this->entry, this->entry.Blame().Table(), out);
+  WriteQuarantine(this->entry, this->entry.Blame().Table(), out);
   out.AddSingle("follows_policy_source", "gauge",
                 "1: this node reads the policy's source for others.",
                 this->FollowsSource() ? 1 : 0);
@@ -128,7 +128,7 @@
   if (this->PolicyVersion() != 0) {
     out.AddSingle("policy_age_seconds", "gauge",
                   "Time since that version is in force.",
-                  static_cast<double>((now - this->policy_taken).count) /
+                  static_cast<double>((now - this->policy_applied_at).count) /
                       kMillisPerSecond);
   }
   WriteLog(out);
@@ -138,7 +138,7 @@
 void RelayNode::WriteChains(MetricText& out) const {
   std::map<std::uint32_t, std::string> names;
   for (const PeerPointer& peer : this->peers.All()) {
-    names.emplace(ServiceKeyOf(peer->told.service), peer->told.service);
+    names.emplace(ServiceKeyOf(peer->reported.service), peer->reported.service);
   }
   out.Begin("calls_per_root", "gauge",
             "Calls at a service for each root request, as counted here.");
--- a/libs/relay/src/peer_frames.cc
+++ b/libs/relay/src/peer_frames.cc
@@ -22,13 +22,13 @@
 }
 
 std::optional<RawFrame> NextFrame(std::string_view input, bool& is_bad) {
-  if (input.size() < kHeadSize) {
+  if (input.size() < kHeaderSize) {
     return std::nullopt;
   }
   std::uint32_t size = 0;
   std::memcpy(&size, input.data(), sizeof(size));
   size = boost::endian::big_to_native(size);
-  if (size == 0 || size > kMaxFrame) {
+  if (size == 0 || size > kMaxFrameSize) {
     is_bad = true;
     return std::nullopt;
   }
@@ -37,7 +37,7 @@
   }
   RawFrame frame;
   frame.type = static_cast<FrameType>(input[4]);
-  frame.payload = input.substr(kHeadSize, size - 1);
+  frame.payload = input.substr(kHeaderSize, size - 1);
   frame.size = 4 + static_cast<std::size_t>(size);
   return frame;
 }
@@ -46,7 +46,7 @@
   Writer writer(FrameType::kCall, out);
   writer.Put(frame.id);
   writer.Put(frame.sent_ms);
-  writer.Put(frame.left_ms);
+  writer.Put(frame.remaining_ms);
   writer.Put(frame.wait_ms);
   writer.PutByte(static_cast<std::uint8_t>((frame.is_repeatable ? 1U : 0U) |
                                            (frame.is_repeat ? 2U : 0U)));
@@ -67,7 +67,7 @@
   Reader in(payload);
   in.Take(frame.id);
   in.Take(frame.sent_ms);
-  in.Take(frame.left_ms);
+  in.Take(frame.remaining_ms);
   in.Take(frame.wait_ms);
   const std::uint8_t flags = in.TakeByte();
   frame.is_repeatable = (flags & 1U) != 0;
@@ -103,12 +103,13 @@
   writer.PutText(frame.fields);
   writer.PutText(frame.body);
   // A chain over more services than there is room for tells none.
-  writer.PutShort(frame.ran.is_cut ? 0 : frame.ran.size);
-  for (std::size_t i = 0; !frame.ran.is_cut && i < frame.ran.size; ++i) {
-    writer.Put(frame.ran.entries[i].service);
-    writer.PutShort(frame.ran.entries[i].runs);
+  writer.PutVarint(frame.run_counts.is_cut ? 0 : frame.run_counts.size);
+  for (std::size_t i = 0; !frame.run_counts.is_cut && i < frame.run_counts.size;
+       ++i) {
+    writer.Put(frame.run_counts.entries[i].service);
+    writer.PutVarint(frame.run_counts.entries[i].runs);
   }
-  writer.PutShortFraction(frame.erring);
+  writer.PutVarintFraction(frame.error_rate);
 }
 
 bool Decode(std::string_view payload, AnswerFrame& frame) {
@@ -124,24 +125,24 @@
   in.TakeText(frame.status_text);
   in.TakeText(frame.fields);
   in.TakeText(frame.body);
-  frame.ran = control::CallCounts();
-  const std::size_t count = in.IsAtEnd() ? 0 : in.TakeShortCount();
+  frame.run_counts = control::CallCounts();
+  const std::size_t count = in.IsAtEnd() ? 0 : in.TakeVarintCount();
   for (std::size_t i = 0; i < count && in.IsGood(); ++i) {
     control::ServiceCount runs;
     in.Take(runs.service);
-    runs.runs = in.TakeShortNumber();
-    control::AddRuns(runs, frame.ran);
+    runs.runs = in.TakeVarint32();
+    control::AddRuns(runs, frame.run_counts);
   }
-  frame.erring = TakeErring(in);
+  frame.error_rate = TakeErrorRate(in);
   return in.IsGood();
 }
 
 void Append(const DataFrame& frame, std::string& out) {
   Writer writer(FrameType::kData, out);
   writer.Put(frame.id);
-  writer.PutByte(static_cast<std::uint8_t>((frame.is_last ? 1U : 0U) |
-                                           (frame.is_broken ? 2U : 0U) |
-                                           (frame.is_target_ended ? 4U : 0U)));
+  writer.PutByte(static_cast<std::uint8_t>(
+      (frame.is_last ? 1U : 0U) | (frame.is_broken ? 2U : 0U) |
+      (frame.is_target_crashed ? 4U : 0U)));
   writer.PutText(frame.body);
 }
 
@@ -151,7 +152,7 @@
   const std::uint8_t flags = in.TakeByte();
   frame.is_last = (flags & 1U) != 0;
   frame.is_broken = (flags & 2U) != 0;
-  frame.is_target_ended = (flags & 4U) != 0;
+  frame.is_target_crashed = (flags & 4U) != 0;
   in.TakeText(frame.body);
   return in.IsGood();
 }
@@ -169,16 +170,16 @@
   return in.IsGood();
 }
 
-void Append(const QuotaAskFrame& frame, std::string& out) {
-  Writer writer(FrameType::kQuotaAsk, out);
+void Append(const QuotaRequestFrame& frame, std::string& out) {
+  Writer writer(FrameType::kQuotaRequest, out);
   writer.Put(frame.account);
-  writer.PutShort(frame.wanted);
+  writer.PutVarint(frame.wanted);
 }
 
-bool Decode(std::string_view payload, QuotaAskFrame& frame) {
+bool Decode(std::string_view payload, QuotaRequestFrame& frame) {
   Reader in(payload);
   in.Take(frame.account);
-  frame.wanted = in.TakeShortNumber();
+  frame.wanted = in.TakeVarint32();
   return in.IsGood();
 }
 
@@ -187,9 +188,9 @@
   writer.Put(frame.account);
   writer.PutByte(static_cast<std::uint8_t>((frame.is_lender ? 1U : 0U) |
                                            (frame.loan.is_ample ? 2U : 0U)));
-  writer.PutShort(frame.loan.granted);
-  writer.PutShort(static_cast<std::uint64_t>(frame.loan.next.count));
-  writer.PutShort(static_cast<std::uint64_t>(frame.loan.wait.count));
+  writer.PutVarint(frame.loan.granted);
+  writer.PutVarint(static_cast<std::uint64_t>(frame.loan.next.count));
+  writer.PutVarint(static_cast<std::uint64_t>(frame.loan.wait.count));
 }
 
 bool Decode(std::string_view payload, QuotaLoanFrame& frame) {
@@ -198,9 +199,9 @@
   const std::uint8_t flags = in.TakeByte();
   frame.is_lender = (flags & 1U) != 0;
   frame.loan.is_ample = (flags & 2U) != 0;
-  frame.loan.granted = in.TakeShortNumber();
-  frame.loan.next = Millis{in.TakeShortNumber()};
-  frame.loan.wait = Millis{in.TakeShortNumber()};
+  frame.loan.granted = in.TakeVarint32();
+  frame.loan.next = Millis{in.TakeVarint32()};
+  frame.loan.wait = Millis{in.TakeVarint32()};
   return in.IsGood();
 }
 
@@ -224,34 +225,34 @@
   const Writer writer(FrameType::kPing, out);
 }
 
-void AppendSeen(const ReportNumber& report, std::string& out) {
-  Writer writer(FrameType::kSeen, out);
+void AppendStateConfirmed(const ReportId& report, std::string& out) {
+  Writer writer(FrameType::kStateConfirmed, out);
   writer.Put(report.sequence);
-  writer.Put(report.born);
+  writer.Put(report.started_at);
 }
 
-bool DecodeSeen(std::string_view payload, ReportNumber& report) {
+bool DecodeStateConfirmed(std::string_view payload, ReportId& report) {
   Reader in(payload);
   in.Take(report.sequence);
   // An older node says nothing of it.
-  report.born = 0;
+  report.started_at = 0;
   if (!in.IsAtEnd()) {
-    in.Take(report.born);
+    in.Take(report.started_at);
   }
   return in.IsGood();
 }
 
-void AppendWantPolicy(std::uint64_t own_version, std::string& out) {
-  Writer writer(FrameType::kWantPolicy, out);
+void AppendPolicyRequest(std::uint64_t own_version, std::string& out) {
+  Writer writer(FrameType::kPolicyRequest, out);
   writer.Put(own_version);
 }
 
-void AppendVersion(std::uint64_t version, std::string& out) {
-  Writer writer(FrameType::kVersion, out);
+void AppendPolicyVersion(std::uint64_t version, std::string& out) {
+  Writer writer(FrameType::kPolicyVersion, out);
   writer.Put(version);
 }
 
-bool DecodeVersion(std::string_view payload, std::uint64_t& version) {
+bool DecodePolicyVersion(std::string_view payload, std::uint64_t& version) {
   Reader in(payload);
   in.Take(version);
   return in.IsGood();
--- a/libs/relay/src/peer_link.cc
+++ b/libs/relay/src/peer_link.cc
@@ -12,11 +12,11 @@
 namespace {
 
 /// Bytes unacknowledged for so long mean that the way to the peer is gone.
-constexpr Millis kSilence{2000};
+constexpr Millis kAckTimeout{2000};
 /// Bytes that may wait for a slow peer: some hundred answers.
-constexpr std::size_t kMostWaiting = 16 * 1024 * 1024;
+constexpr std::size_t kMaxPendingBytes = 16 * 1024 * 1024;
 /// Buffers that grew beyond this are given back when empty.
-constexpr std::size_t kKeptCapacity = 16 * 1024;
+constexpr std::size_t kMaxIdleCapacity = 16 * 1024;
 
 }  // namespace
 
@@ -29,11 +29,11 @@
       last_received(BootTimeNow()) {}
 
 void PeerLink::Start() {
-  PrepareSocket(this->socket, kSilence);
+  ConfigureSocket(this->socket, kAckTimeout);
   this->Read();
 }
 
-void PeerLink::FlushSoon() {
+void PeerLink::ScheduleFlush() {
   if (this->is_flush_posted || this->is_write_waiting || !this->IsOpen()) {
     return;
   }
@@ -53,7 +53,7 @@
                             this->output.size() - this->written),
         error);
     if (error == boost::asio::error::would_block) {
-      if (this->output.size() - this->written > kMostWaiting) {
+      if (this->output.size() - this->written > kMaxPendingBytes) {
         this->Fail();
         return;
       }
@@ -75,18 +75,18 @@
   }
   this->output.clear();
   this->written = 0;
-  if (this->output.capacity() > kKeptCapacity) {
+  if (this->output.capacity() > kMaxIdleCapacity) {
     this->output.shrink_to_fit();
   }
-  this->RunDrained();
+  this->RunDrainCallback();
 }
 
 void PeerLink::WhenDrained(std::function<void()> task) {
   this->on_drained = std::move(task);
-  this->FlushSoon();
+  this->ScheduleFlush();
 }
 
-void PeerLink::RunDrained() {
+void PeerLink::RunDrainCallback() {
   if (this->on_drained != nullptr) {
     boost::asio::post(this->socket.get_executor(), std::move(this->on_drained));
     this->on_drained = nullptr;
@@ -108,7 +108,7 @@
   });
 }
 
-std::size_t PeerLink::TakeFrames(std::string_view bytes, bool& is_good) {
+std::size_t PeerLink::DispatchFrames(std::string_view bytes, bool& is_good) {
   std::size_t used = 0;
   bool is_bad = false;
   while (this->IsOpen()) {
@@ -128,17 +128,17 @@
   bool is_good = true;
   if (this->input.empty()) {
     // Mostly whole frames: they are taken where they were read.
-    const std::size_t used = this->TakeFrames(bytes, is_good);
+    const std::size_t used = this->DispatchFrames(bytes, is_good);
     this->input.append(bytes.substr(used));
   } else {
     this->input.append(bytes);
-    this->input.erase(0, this->TakeFrames(this->input, is_good));
+    this->input.erase(0, this->DispatchFrames(this->input, is_good));
   }
   if (!is_good) {
     this->Fail();
     return;
   }
-  if (this->input.empty() && this->input.capacity() > kKeptCapacity) {
+  if (this->input.empty() && this->input.capacity() > kMaxIdleCapacity) {
     this->input.shrink_to_fit();
   }
   if (this->IsOpen()) {
@@ -149,7 +149,7 @@
 void PeerLink::Close() {
   boost::system::error_code ignored;
   this->socket.close(ignored);
-  this->RunDrained();
+  this->RunDrainCallback();
 }
 
 void PeerLink::Fail() {
--- a/libs/relay/src/peer_policy.cc
+++ b/libs/relay/src/peer_policy.cc
@@ -14,24 +14,24 @@
 /// Nodes that are sent the policy at the same time. Each holds a copy of its
 /// text in its link's buffer until the link has taken it, so more would cost a
 /// large policy's size each; the next one follows when a copy has left.
-constexpr std::uint32_t kMostServed = 2;
+constexpr std::uint32_t kMaxPolicyTransfers = 2;
 /// Nodes of the dialect before get the policy pushed, only after this time:
 /// most have it from its source by then.
-constexpr Millis kPushWait{250};
-constexpr Millis kPushAgain{1000};
+constexpr Millis kPushDelay{250};
+constexpr Millis kPushInterval{1000};
 
 }  // namespace
 
-std::uint32_t PeerTable::OwnRank() const {
+std::uint32_t PeerTable::RankAmongReachable() const {
   const std::uint64_t own = StableHash(this->self->node.name);
   return static_cast<std::uint32_t>(std::count_if(
       this->peers.begin(), this->peers.end(), [own](const PeerPointer& peer) {
         return !peer->is_self && peer->IsReachable() && !peer->is_suspect &&
-               peer->told.has_source && StableHash(peer->node.name) < own;
+               peer->reported.has_source && StableHash(peer->node.name) < own;
       }));
 }
 
-std::uint32_t PeerTable::OwnRankOfKnown() const {
+std::uint32_t PeerTable::RankAmongKnown() const {
   const std::uint64_t own = StableHash(this->self->node.name);
   return static_cast<std::uint32_t>(std::count_if(
       this->peers.begin(), this->peers.end(), [own](const PeerPointer& peer) {
@@ -45,51 +45,52 @@
   std::uint32_t before_with_source = 0;
   for (const PeerPointer& peer : this->peers) {
     const bool is_before = !peer->is_self && peer->IsReachable() &&
-                           !peer->is_suspect && !peer->told.is_stopping &&
-                           peer->dialect >= kAsksPolicy &&
-                           peer->told.zone == this->settings.zone.Value() &&
+                           !peer->is_suspect && !peer->reported.is_stopping &&
+                           peer->protocol_version >= kVersionPolicyPull &&
+                           peer->reported.zone == this->settings.zone.Value() &&
                            StableHash(peer->node.name) < own;
     before += is_before ? 1 : 0;
-    before_with_source += is_before && peer->told.has_source ? 1 : 0;
+    before_with_source += is_before && peer->reported.has_source ? 1 : 0;
   }
   return control::FollowsSource(this->settings.decisions.follow, before,
                                 before_with_source);
 }
 
-bool PeerTable::IsInTouchWithSource() const {
-  const bool is_told = std::any_of(
+bool PeerTable::HasAccessToSource() const {
+  const bool is_reported = std::any_of(
       this->peers.begin(), this->peers.end(), [](const PeerPointer& peer) {
         return !peer->is_self && peer->IsReachable() && !peer->is_suspect &&
-               peer->told.has_source;
+               peer->reported.has_source;
       });
-  return is_told || (this->self->told.has_source && this->FollowsSource());
+  return is_reported ||
+         (this->self->reported.has_source && this->FollowsSource());
 }
 
-void PeerTable::AskForPolicy(Millis now) {
+void PeerTable::RequestPolicy(Millis now) {
   const control::FollowRules& rules = this->settings.decisions.follow;
-  const std::uint64_t own = this->self->told.policy_version;
+  const std::uint64_t own = this->self->reported.policy_version;
   std::uint64_t newest = own;
   for (const PeerPointer& peer : this->peers) {
     if (!peer->is_self && peer->IsReachable()) {
-      newest = std::max(newest, peer->told.policy_version);
+      newest = std::max(newest, peer->reported.policy_version);
     }
   }
   if (newest == own) {
-    this->newer_known_at = Millis{0};
-    this->policy_unread_at = Millis{0};
-    this->policy_asked.reset();
+    this->newer_version_since = Millis{0};
+    this->policy_unusable_at = Millis{0};
+    this->policy_requested_from.reset();
     return;
   }
-  if (this->newer_known_at == Millis{0}) {
-    this->newer_known_at = now;
+  if (this->newer_version_since == Millis{0}) {
+    this->newer_version_since = now;
   }
-  const PeerPointer asked = this->policy_asked.lock();
+  const PeerPointer asked = this->policy_requested_from.lock();
   const bool is_awaited = asked != nullptr && asked->IsReachable() &&
-                          now - this->policy_asked_at < rules.answer_wait;
+                          now - this->policy_requested_at < rules.answer_wait;
   // The others most likely have the same text, and each question costs all of
   // it.
-  const bool is_unread = this->policy_unread_at != Millis{0} &&
-                         now - this->policy_unread_at < rules.unread_wait;
+  const bool is_unread = this->policy_unusable_at != Millis{0} &&
+                         now - this->policy_unusable_at < rules.unread_wait;
   if (is_awaited || is_unread) {
     return;
   }
@@ -97,44 +98,46 @@
   for (const PeerPointer& peer : this->peers) {
     control::PolicyOffer offer;
     const bool is_open = !peer->is_self && peer->IsReachable() &&
-                         !peer->is_suspect && peer->dialect >= kAsksPolicy;
-    offer.version = is_open ? peer->told.policy_version : 0;
-    offer.is_own_zone = peer->told.zone == this->settings.zone.Value();
-    offer.is_asked = peer->asked_version >= offer.version;
+                         !peer->is_suspect &&
+                         peer->protocol_version >= kVersionPolicyPull;
+    offer.version = is_open ? peer->reported.policy_version : 0;
+    offer.is_own_zone = peer->reported.zone == this->settings.zone.Value();
+    offer.is_asked = peer->requested_version >= offer.version;
     offers.push_back(offer);
   }
   const double draw =
       std::uniform_real_distribution<double>(0, 1)(this->random);
   const std::optional<std::size_t> choice = control::ChooseOffer(
-      rules, own, offers, now - this->newer_known_at, draw);
+      rules, own, offers, now - this->newer_version_since, draw);
   if (!choice.has_value()) {
-    if (now - this->newer_known_at >= rules.elsewhere_wait) {
+    if (now - this->newer_version_since >= rules.elsewhere_wait) {
       // All were asked in vain: from the beginning.
       for (const PeerPointer& peer : this->peers) {
-        peer->asked_version = 0;
+        peer->requested_version = 0;
       }
     }
     return;
   }
   const PeerPointer& peer = this->peers[*choice];
-  peer->asked_version = peer->told.policy_version;
-  this->policy_asked = peer;
-  this->policy_asked_at = now;
-  AppendWantPolicy(own, peer->link->Out());
-  peer->link->FlushSoon();
+  peer->requested_version = peer->reported.policy_version;
+  this->policy_requested_from = peer;
+  this->policy_requested_at = now;
+  AppendPolicyRequest(own, peer->link->OutputBuffer());
+  peer->link->ScheduleFlush();
 }
 
-bool PeerTable::OnVersion(const PeerPointer& peer, std::string_view payload) {
+bool PeerTable::OnPolicyVersion(const PeerPointer& peer,
+                                std::string_view payload) {
   std::uint64_t version = 0;
-  if (!DecodeVersion(payload, version)) {
+  if (!DecodePolicyVersion(payload, version)) {
     return false;
   }
-  if (!peer->is_greeted) {
+  if (!peer->has_reported) {
     // Its state comes first.
     return true;
   }
-  peer->told.policy_version = version;
-  this->AskForPolicy(BootTimeNow());
+  peer->reported.policy_version = version;
+  this->RequestPolicy(BootTimeNow());
   return true;
 }
 
@@ -142,48 +145,51 @@
 bool PeerTable::OnPolicy(const PeerPointer& peer, std::string_view payload) {
   // Its text stands behind four bytes of length.
   constexpr std::size_t kLengthBytes = 4;
-  const bool was_asked = peer != nullptr && peer == this->policy_asked.lock();
+  const bool was_asked =
+      peer != nullptr && peer == this->policy_requested_from.lock();
   if (was_asked) {
-    this->policy_asked.reset();
+    this->policy_requested_from.reset();
   }
   if (payload.size() <= kLengthBytes) {
     return false;
   }
   this->events.on_policy(std::string(payload.substr(kLengthBytes)));
-  if (was_asked && this->self->told.policy_version < peer->asked_version) {
-    this->policy_unread_at = BootTimeNow();
+  if (was_asked &&
+      this->self->reported.policy_version < peer->requested_version) {
+    this->policy_unusable_at = BootTimeNow();
   }
   return true;
 }
 
-bool PeerTable::OnWantPolicy(const PeerLinkPointer& link,
-                             std::string_view payload) {
+bool PeerTable::OnPolicyRequest(const PeerLinkPointer& link,
+                                std::string_view payload) {
   std::uint64_t known = 0;
-  if (!DecodeVersion(payload, known)) {
+  if (!DecodePolicyVersion(payload, known)) {
     return false;
   }
-  if (this->self->told.policy_version > known) {
-    this->policy_wanted.push_back(link->Id());
-    this->ServePolicy();
+  if (this->self->reported.policy_version > known) {
+    this->policy_requests.push_back(link->Id());
+    this->ServePolicyRequests();
   }
   return true;
 }
 
-void PeerTable::ServePolicy() {
+void PeerTable::ServePolicyRequests() {
   const std::string& text = this->events.policy_text();
-  while (!text.empty() && this->policy_served < kMostServed &&
-         !this->policy_wanted.empty()) {
-    const PeerLinkPointer link = this->Accepted(this->policy_wanted.front());
-    this->policy_wanted.pop_front();
+  while (!text.empty() && this->policy_transfers < kMaxPolicyTransfers &&
+         !this->policy_requests.empty()) {
+    const PeerLinkPointer link =
+        this->FindAcceptedLink(this->policy_requests.front());
+    this->policy_requests.pop_front();
     if (link == nullptr || !link->IsOpen() || link->IsDraining()) {
       continue;
     }
-    ++this->policy_served;
-    AppendPolicy(text, link->Out());
+    ++this->policy_transfers;
+    AppendPolicy(text, link->OutputBuffer());
     link->WhenDrained([this]() {
-      --this->policy_served;
+      --this->policy_transfers;
       if (!this->is_closed) {
-        this->ServePolicy();
+        this->ServePolicyRequests();
       }
     });
   }
@@ -191,33 +197,34 @@
 
 /// Only the number of the policy changed: those who know the rest are told just
 /// that, a tenth of a state.
-void PeerTable::TellVersion() {
+void PeerTable::AnnouncePolicyVersion() {
   std::string frame;
-  AppendVersion(this->self->told.policy_version, frame);
+  AppendPolicyVersion(this->self->reported.policy_version, frame);
   std::string whole;
   for (auto& [id, entry] : this->accepted) {
-    const bool knows_rest = entry.told_facts + 1 == this->facts;
-    if (knows_rest && entry.dialect >= kAsksPolicy) {
-      entry.link->Out() += frame;
+    const bool is_only_version_new =
+        entry.announced_revision + 1 == this->state_revision;
+    if (is_only_version_new && entry.protocol_version >= kVersionPolicyPull) {
+      entry.link->OutputBuffer() += frame;
     } else {
       if (whole.empty()) {
-        Append(this->self->told, whole);
+        Append(this->self->reported, whole);
       }
-      entry.link->Out() += whole;
+      entry.link->OutputBuffer() += whole;
     }
-    entry.told_facts = this->facts;
-    entry.link->FlushSoon();
+    entry.announced_revision = this->state_revision;
+    entry.link->ScheduleFlush();
   }
 }
 
-void PeerTable::TellNodes(const std::vector<NodeAddress>& nodes) {
+void PeerTable::AnnounceNodes(const std::vector<NodeAddress>& nodes) {
   if (nodes.empty()) {
     return;
   }
   for (auto& [id, entry] : this->accepted) {
-    if (entry.dialect >= kAsksPolicy) {
-      AppendNodes(nodes, entry.link->Out());
-      entry.link->FlushSoon();
+    if (entry.protocol_version >= kVersionPolicyPull) {
+      AppendNodes(nodes, entry.link->OutputBuffer());
+      entry.link->ScheduleFlush();
     }
   }
 }
@@ -228,7 +235,7 @@
     return false;
   }
   for (const NodeAddress& node : nodes) {
-    this->Learn(node);
+    this->AddNode(node);
   }
   return true;
 }
@@ -236,22 +243,23 @@
 void PeerTable::PushPolicy(Millis now, const PeerPointer& peer) {
   const std::string& text = this->events.policy_text();
   const bool is_behind =
-      peer->is_greeted && peer->dialect < kAsksPolicy && !text.empty() &&
-      peer->told.policy_version < this->self->told.policy_version;
+      peer->has_reported && peer->protocol_version < kVersionPolicyPull &&
+      !text.empty() &&
+      peer->reported.policy_version < this->self->reported.policy_version;
   if (!is_behind) {
-    peer->policy_sent = Millis{0};
+    peer->policy_pushed_at = Millis{0};
     return;
   }
-  if (peer->policy_sent == Millis{0}) {
+  if (peer->policy_pushed_at == Millis{0}) {
     // A node that knows none needs it at once.
-    const bool is_empty = peer->told.policy_version == 0;
-    peer->policy_sent =
-        is_empty ? now - kPushAgain : now - kPushAgain + kPushWait;
+    const bool is_empty = peer->reported.policy_version == 0;
+    peer->policy_pushed_at =
+        is_empty ? now - kPushInterval : now - kPushInterval + kPushDelay;
   }
-  if (now - peer->policy_sent >= kPushAgain) {
-    peer->policy_sent = now;
-    AppendPolicy(text, peer->link->Out());
-    peer->link->FlushSoon();
+  if (now - peer->policy_pushed_at >= kPushInterval) {
+    peer->policy_pushed_at = now;
+    AppendPolicy(text, peer->link->OutputBuffer());
+    peer->link->ScheduleFlush();
   }
 }
 
--- a/libs/relay/src/peer_news.cc
+++ b/libs/relay/src/peer_state.cc
@@ -13,14 +13,14 @@
 namespace {
 
 /// Instances remembered for each peer.
-constexpr std::size_t kMostRemembered = 16;
+constexpr std::size_t kMaxDrainingInstances = 16;
 /// Other nodes named in a hello. A node gets one from each that it meets, so it
 /// soon knows all: with n nodes it needs about log(n) of them.
-constexpr std::size_t kMostOthers = 16;
+constexpr std::size_t kMaxNodesInHello = 16;
 /// The calls of chains are told again after this, for whoever missed a load.
-constexpr Millis kChainsAgain{3000};
+constexpr Millis kChainsInterval{3000};
 
-void DropCalls(std::vector<control::RootRate>& roots) {
+void ClearChains(std::vector<control::RootRate>& roots) {
   for (control::RootRate& root : roots) {
     root.calls.clear();
   }
@@ -29,17 +29,17 @@
 }  // namespace
 
 /// Another start of the node speaks: what the one before told is kept for it.
-void PeerTable::NoteStart(std::uint64_t incarnation, Peer& peer) {
+void PeerTable::UpdateIncarnation(std::uint64_t incarnation, Peer& peer) {
   if (peer.node.incarnation != 0 && peer.node.incarnation != incarnation) {
-    peer.former_incarnation = peer.node.incarnation;
-    peer.former_repeats = peer.told.repeats;
+    peer.previous_incarnation = peer.node.incarnation;
+    peer.previous_repeats = peer.reported.repeats;
   }
   peer.node.incarnation = incarnation;
 }
 
 /// Whom to name to `to`: a few, drawn anew each time. All of them from each to
 /// each would be the cube of the number of nodes at every start.
-std::vector<NodeAddress> PeerTable::SomeOthers(const std::string& to) {
+std::vector<NodeAddress> PeerTable::SampleNodes(const std::string& to) {
   std::vector<NodeAddress> known;
   for (const PeerPointer& peer : this->peers) {
     if (!peer->is_self && peer->link != nullptr && peer->node.name != to) {
@@ -47,8 +47,8 @@
     }
   }
   std::vector<NodeAddress> some;
-  std::sample(known.begin(), known.end(), std::back_inserter(some), kMostOthers,
-              this->random);
+  std::sample(known.begin(), known.end(), std::back_inserter(some),
+              kMaxNodesInHello, this->random);
   return some;
 }
 
@@ -57,52 +57,52 @@
   hello.self = this->self->node;
   hello.zone = this->settings.zone.Value();
   hello.deployment = this->settings.deployment;
-  hello.others = this->SomeOthers(to);
-  hello.dialect = kOwnDialect;
-  const auto known = this->remembered.find(to);
-  if (known != this->remembered.end()) {
-    hello.remembered.assign(known->second.begin(), known->second.end());
+  hello.known_nodes = this->SampleNodes(to);
+  hello.protocol_version = kProtocolVersion;
+  const auto known = this->draining_instances.find(to);
+  if (known != this->draining_instances.end()) {
+    hello.draining_instances.assign(known->second.begin(), known->second.end());
   }
-  const auto met = std::find_if(
+  const auto receiver = std::find_if(
       this->peers.begin(), this->peers.end(),
       [&to](const PeerPointer& peer) { return peer->node.name == to; });
-  if (met != this->peers.end()) {
-    const Peer& peer = **met;
+  if (receiver != this->peers.end()) {
+    const Peer& peer = **receiver;
     hello.known_incarnation = peer.node.incarnation;
-    hello.former_incarnation = peer.former_incarnation;
+    hello.previous_incarnation = peer.previous_incarnation;
     // Its last word, if no later start of it has spoken yet.
-    hello.former_repeats = peer.former_incarnation != 0 ? peer.former_repeats
-                           : peer.is_greeted ? std::vector<ServiceRepeats>()
-                                             : peer.told.repeats;
+    hello.previous_repeats = peer.previous_incarnation != 0
+                                 ? peer.previous_repeats
+                             : peer.has_reported ? std::vector<ServiceRepeats>()
+                                                 : peer.reported.repeats;
   }
-  Append(hello, link.Out());
-  link.FlushSoon();
+  Append(hello, link.OutputBuffer());
+  link.ScheduleFlush();
 }
 
 /// True if this start took a later number because of what the sender knows.
 bool PeerTable::OnHello(const HelloFrame& hello) {
-  const bool is_outnumbered =
-      hello.known_incarnation > this->self->node.incarnation;
-  if (is_outnumbered) {
+  const bool is_raised = hello.known_incarnation > this->self->node.incarnation;
+  if (is_raised) {
     // The clock went back between the last start and this one.
     this->SetIncarnation(hello.known_incarnation + 1);
-    this->events.on_incarnation(this->self->node.incarnation);
+    this->events.on_incarnation_changed(this->self->node.incarnation);
   }
-  const bool has_memory =
-      hello.former_incarnation != 0 ||
+  const bool has_previous =
+      hello.previous_incarnation != 0 ||
       (hello.known_incarnation != 0 &&
        hello.known_incarnation != this->self->node.incarnation);
-  if (has_memory) {
-    this->events.on_memory(hello.former_repeats);
+  if (has_previous) {
+    this->events.on_previous_repeats(hello.previous_repeats);
   }
-  this->Learn(hello.self);
-  for (const NodeAddress& node : hello.others) {
-    this->Learn(node);
+  this->AddNode(hello.self);
+  for (const NodeAddress& node : hello.known_nodes) {
+    this->AddNode(node);
   }
-  for (const InstanceRecord& record : hello.remembered) {
-    this->events.on_remembered(record);
+  for (const InstanceRecord& record : hello.draining_instances) {
+    this->events.on_remembered_instance(record);
   }
-  return is_outnumbered;
+  return is_raised;
 }
 
 /// A peer whose frames cannot be decoded is not understood any more: what
@@ -110,7 +110,7 @@
 /// over would leave its call waiting for its whole time.
 void PeerTable::OnAcceptedFrame(const PeerLinkPointer& link,
                                 const RawFrame& frame) {
-  if (this->TakeAcceptedFrame(link, frame)) {
+  if (this->HandleAcceptedFrame(link, frame)) {
     return;
   }
   const auto entry = this->accepted.find(link->Id());
@@ -122,33 +122,33 @@
   this->events.on_accepted_closed(link->Id());
 }
 
-bool PeerTable::TakeAcceptedFrame(const PeerLinkPointer& link,
-                                  const RawFrame& frame) {
+bool PeerTable::HandleAcceptedFrame(const PeerLinkPointer& link,
+                                    const RawFrame& frame) {
   switch (frame.type) {
     case FrameType::kHello:
       return this->OnAcceptedHello(link, frame.payload);
     case FrameType::kPolicy:
       // From a node of the dialect before; others are asked.
       return this->OnPolicy(nullptr, frame.payload);
-    case FrameType::kWantPolicy:
-      return this->OnWantPolicy(link, frame.payload);
+    case FrameType::kPolicyRequest:
+      return this->OnPolicyRequest(link, frame.payload);
     case FrameType::kPing: {
       const auto entry = this->accepted.find(link->Id());
       if (entry != this->accepted.end()) {
-        this->TellState(entry->second);
+        this->SendState(entry->second);
       }
       return true;
     }
-    case FrameType::kSeen: {
-      ReportNumber report;
-      if (!DecodeSeen(frame.payload, report)) {
+    case FrameType::kStateConfirmed: {
+      ReportId report;
+      if (!DecodeStateConfirmed(frame.payload, report)) {
         return false;
       }
-      this->events.on_seen(report);
+      this->events.on_state_confirmed(report);
       return true;
     }
     default:
-      return this->events.on_call(link, frame);
+      return this->events.on_accepted_frame(link, frame);
   }
 }
 
@@ -161,25 +161,25 @@
   }
   AcceptedLink& entry = this->accepted[link->Id()];
   entry.node = hello.self.name;
-  entry.dialect = hello.dialect;
+  entry.protocol_version = hello.protocol_version;
   this->OnHello(hello);
   this->SendHello(*link, hello.self.name);
-  this->TellState(entry);
+  this->SendState(entry);
   return true;
 }
 
 void PeerTable::OnDialledFrame(const PeerPointer& peer, const RawFrame& frame) {
   peer->is_suspect = false;
-  if (!this->TakeDialledFrame(peer, frame)) {
+  if (!this->HandleDialledFrame(peer, frame)) {
     LogEvent(kEventPeerRefused,
              {{"node", peer->node.name},
               {"frame", std::to_string(static_cast<unsigned>(frame.type))}});
-    this->LoseLink(peer);
+    this->DropLink(peer);
   }
 }
 
-bool PeerTable::TakeDialledFrame(const PeerPointer& peer,
-                                 const RawFrame& frame) {
+bool PeerTable::HandleDialledFrame(const PeerPointer& peer,
+                                   const RawFrame& frame) {
   switch (frame.type) {
     case FrameType::kHello:
       return this->OnDialledHello(peer, frame.payload);
@@ -187,14 +187,14 @@
       return this->OnState(peer, frame.payload);
     case FrameType::kLoad:
       return this->OnLoad(peer, frame.payload);
-    case FrameType::kVersion:
-      return this->OnVersion(peer, frame.payload);
+    case FrameType::kPolicyVersion:
+      return this->OnPolicyVersion(peer, frame.payload);
     case FrameType::kNodes:
       return this->OnNodes(frame.payload);
     case FrameType::kPolicy:
       return this->OnPolicy(peer, frame.payload);
     default:
-      return this->events.on_answer(peer, frame);
+      return this->events.on_dialled_frame(peer, frame);
   }
 }
 
@@ -208,8 +208,8 @@
     // The address belongs to another node now.
     peer->node = hello.self;
   }
-  NoteStart(hello.self.incarnation, *peer);
-  peer->dialect = hello.dialect;
+  UpdateIncarnation(hello.self.incarnation, *peer);
+  peer->protocol_version = hello.protocol_version;
   if (this->OnHello(hello)) {
     // It takes this start for an earlier one until it hears the number.
     this->SendHello(*peer->link, peer->node.name);
@@ -222,49 +222,54 @@
   if (!Decode(payload, state)) {
     return false;
   }
-  const bool is_first = !peer->is_greeted;
-  const bool is_moved = peer->told.service != state.service;
-  const bool is_other_start =
-      peer->told.instance != state.instance || peer->told.born != state.born;
-  peer->is_greeted = true;
-  peer->dial_wait = Millis{0};
-  peer->told = std::move(state);
-  peer->told_at = BootTimeNow();
-  peer->sent_since = 0;
-  if (is_moved) {
+  const bool is_first = !peer->has_reported;
+  const bool is_service_changed = peer->reported.service != state.service;
+  const bool is_new_incarnation = peer->reported.instance != state.instance ||
+                                  peer->reported.started_at != state.started_at;
+  peer->has_reported = true;
+  peer->dial_backoff = Millis{0};
+  peer->reported = std::move(state);
+  peer->reported_at = BootTimeNow();
+  peer->sent_since_report = 0;
+  if (is_service_changed) {
     this->by_service.clear();
   }
-  if (is_other_start) {
+  if (is_new_incarnation) {
     // What was seen of the instance before says nothing of this one.
     peer->health = control::TargetHealth();
   }
-  this->RememberLeaving(peer);
+  this->RecordDrainingInstance(peer);
   this->events.on_state(peer, is_first);
-  this->AskForPolicy(peer->told_at);
+  this->RequestPolicy(peer->reported_at);
   return true;
 }
 
 /// What a peer tells of an instance that leaves is kept for it over a restart.
-void PeerTable::RememberLeaving(const PeerPointer& peer) {
-  if (peer->told.state != InstanceState::kDraining) {
+void PeerTable::RecordDrainingInstance(const PeerPointer& peer) {
+  if (peer->reported.state != InstanceState::kDraining) {
     return;
   }
-  const StateFrame& told = peer->told;
-  std::deque<InstanceRecord>& records = this->remembered[peer->node.name];
-  const auto known = std::find_if(
-      records.begin(), records.end(), [&told](const InstanceRecord& record) {
-        return record.instance == told.instance && record.born == told.born;
-      });
+  const StateFrame& reported = peer->reported;
+  std::deque<InstanceRecord>& records =
+      this->draining_instances[peer->node.name];
+  const auto known =
+      std::find_if(records.begin(), records.end(),
+                   [&reported](const InstanceRecord& record) {
+                     return record.instance == reported.instance &&
+                            record.started_at == reported.started_at;
+                   });
   if (known != records.end()) {
     records.erase(known);
   }
-  records.push_back(InstanceRecord{peer->node.name, told.instance,
-                                   told.sequence, told.state, told.born});
-  if (records.size() > kMostRemembered) {
+  records.push_back(InstanceRecord{peer->node.name, reported.instance,
+                                   reported.sequence, reported.state,
+                                   reported.started_at});
+  if (records.size() > kMaxDrainingInstances) {
     records.pop_front();
   }
-  AppendSeen({told.born, told.sequence}, peer->link->Out());
-  peer->link->FlushSoon();
+  AppendStateConfirmed({reported.started_at, reported.sequence},
+                       peer->link->OutputBuffer());
+  peer->link->ScheduleFlush();
 }
 
 bool PeerTable::OnLoad(const PeerPointer& peer, std::string_view payload) {
@@ -272,86 +277,87 @@
   if (!Decode(payload, load)) {
     return false;
   }
-  if (!peer->is_greeted) {
+  if (!peer->has_reported) {
     // Its state comes first; without one a load says nothing.
     return true;
   }
-  ApplyLoad(std::move(load), peer->told);
-  peer->told_at = BootTimeNow();
-  peer->sent_since = 0;
+  ApplyLoad(std::move(load), peer->reported);
+  peer->reported_at = BootTimeNow();
+  peer->sent_since_report = 0;
   return true;
 }
 
 /// The load, with the calls of chains only when they have moved or were not
 /// told for long: they are structure, and would be a third of it.
-LoadFrame PeerTable::LoadToTell(const StateFrame& state) {
+LoadFrame PeerTable::MakeLoadFrame(const StateFrame& state) {
   const Millis now = BootTimeNow();
   LoadFrame load = LoadOf(state);
-  if (now - this->chains_told < kChainsAgain &&
-      !control::HaveChainsMoved(this->told_chains, load.roots)) {
-    DropCalls(load.roots);
+  if (now - this->chains_announced_at < kChainsInterval &&
+      !control::HaveChainsMoved(this->announced_chains, load.roots)) {
+    ClearChains(load.roots);
     return load;
   }
-  this->told_chains = load.roots;
-  this->chains_told = now;
+  this->announced_chains = load.roots;
+  this->chains_announced_at = now;
   return load;
 }
 
 /// Tells all that has changed for this link.
-void PeerTable::TellState(AcceptedLink& entry) {
+void PeerTable::SendState(AcceptedLink& entry) {
   const StateFrame state = this->events.make_state();
-  const bool is_load_only = entry.dialect >= kSpeaksLoad &&
-                            entry.told_facts == this->facts &&
-                            HaveSameFacts(state, this->self->told);
+  const bool is_load_only = entry.protocol_version >= kVersionLoadFrames &&
+                            entry.announced_revision == this->state_revision &&
+                            EqualExceptLoad(state, this->self->reported);
   if (is_load_only) {
     LoadFrame load = LoadOf(state);
-    DropCalls(load.roots);
-    Append(load, entry.link->Out());
+    ClearChains(load.roots);
+    Append(load, entry.link->OutputBuffer());
   } else {
-    Append(state, entry.link->Out());
+    Append(state, entry.link->OutputBuffer());
     // Facts that are not counted yet are told again by TellNow.
-    entry.told_facts = this->facts;
+    entry.announced_revision = this->state_revision;
   }
-  entry.link->FlushSoon();
+  entry.link->ScheduleFlush();
 }
 
-void PeerTable::TellNow() {
+void PeerTable::AnnounceState() {
   const StateFrame state = this->events.make_state();
-  if (this->self->told.service != state.service) {
+  if (this->self->reported.service != state.service) {
     this->by_service.clear();
   }
-  const bool is_changed = !HaveSameFacts(state, this->self->told);
+  const bool is_changed = !EqualExceptLoad(state, this->self->reported);
   const bool is_leaving = state.state == InstanceState::kDraining;
   if (is_changed && !is_leaving &&
-      HaveSameFactsButVersion(state, this->self->told)) {
-    ++this->facts;
-    this->self->told = state;
-    this->TellVersion();
+      EqualExceptLoadAndVersion(state, this->self->reported)) {
+    ++this->state_revision;
+    this->self->reported = state;
+    this->AnnouncePolicyVersion();
     return;
   }
-  if (this->self->told.instance != state.instance ||
-      this->self->told.born != state.born) {
+  if (this->self->reported.instance != state.instance ||
+      this->self->reported.started_at != state.started_at) {
     this->self->health = control::TargetHealth();
   }
-  this->facts += is_changed || is_leaving ? 1 : 0;
-  this->self->told = state;
-  this->self->told_at = BootTimeNow();
-  this->self->sent_since = 0;
-  this->last_told = this->self->told_at;
+  this->state_revision += is_changed || is_leaving ? 1 : 0;
+  this->self->reported = state;
+  this->self->reported_at = BootTimeNow();
+  this->self->sent_since_report = 0;
+  this->last_announced = this->self->reported_at;
   std::string whole;
   std::string load;
   for (auto& [id, entry] : this->accepted) {
-    const bool knows_facts = entry.told_facts == this->facts;
+    const bool is_up_to_date = entry.announced_revision == this->state_revision;
     std::string& frame =
-        knows_facts && entry.dialect >= kSpeaksLoad ? load : whole;
+        is_up_to_date && entry.protocol_version >= kVersionLoadFrames ? load
+                                                                      : whole;
     if (frame.empty() && &frame == &load) {
-      Append(this->LoadToTell(state), load);
+      Append(this->MakeLoadFrame(state), load);
     } else if (frame.empty()) {
       Append(state, whole);
     }
-    entry.told_facts = this->facts;
-    entry.link->Out() += frame;
-    entry.link->FlushSoon();
+    entry.announced_revision = this->state_revision;
+    entry.link->OutputBuffer() += frame;
+    entry.link->ScheduleFlush();
   }
 }
 
--- a/libs/relay/src/peer_state_frames.cc
+++ b/libs/relay/src/peer_state_frames.cc
@@ -11,13 +11,13 @@
 namespace {
 
 void PutRepeats(const std::vector<ServiceRepeats>& repeats, Writer& writer) {
-  writer.PutShort(repeats.size());
+  writer.PutVarint(repeats.size());
   for (const ServiceRepeats& entry : repeats) {
     writer.Put(entry.service);
-    writer.PutShort(entry.counts.now);
-    writer.PutShort(entry.counts.half_before);
-    writer.PutShort(entry.counts.before);
-    writer.PutShort(entry.counts.repeats);
+    writer.PutVarint(entry.counts.now);
+    writer.PutVarint(entry.counts.half_before);
+    writer.PutVarint(entry.counts.before);
+    writer.PutVarint(entry.counts.repeats);
   }
 }
 
@@ -27,19 +27,19 @@
   if (in.IsAtEnd()) {
     return;
   }
-  repeats.resize(in.TakeShortCount());
+  repeats.resize(in.TakeVarintCount());
   for (ServiceRepeats& entry : repeats) {
     in.Take(entry.service);
-    entry.counts.now = in.TakeShortNumber();
-    entry.counts.half_before = in.TakeShortNumber();
-    entry.counts.before = in.TakeShortNumber();
-    entry.counts.repeats = in.TakeShortNumber();
+    entry.counts.now = in.TakeVarint32();
+    entry.counts.half_before = in.TakeVarint32();
+    entry.counts.before = in.TakeVarint32();
+    entry.counts.repeats = in.TakeVarint32();
   }
 }
 
 /// The calls of chains, of the routes that have some.
 void PutCalls(const std::vector<control::RootRate>& roots, Writer& writer) {
-  writer.PutShort(static_cast<std::uint64_t>(std::count_if(
+  writer.PutVarint(static_cast<std::uint64_t>(std::count_if(
       roots.begin(), roots.end(),
       [](const control::RootRate& root) { return !root.calls.empty(); })));
   for (const control::RootRate& root : roots) {
@@ -47,24 +47,24 @@
       continue;
     }
     writer.Put(root.route);
-    writer.PutShort(root.calls.size());
+    writer.PutVarint(root.calls.size());
     for (const control::ServiceCalls& calls : root.calls) {
       writer.Put(calls.service);
-      writer.PutShortFraction(calls.per_root);
+      writer.PutVarintFraction(calls.per_root);
     }
   }
 }
 
 /// An older node says nothing of them.
 void TakeCalls(Reader& in, std::vector<control::RootRate>& roots) {
-  const std::size_t count = in.IsAtEnd() ? 0 : in.TakeShortCount();
+  const std::size_t count = in.IsAtEnd() ? 0 : in.TakeVarintCount();
   for (std::size_t i = 0; i < count && in.IsGood(); ++i) {
     std::uint32_t route = 0;
     in.Take(route);
-    std::vector<control::ServiceCalls> all(in.TakeShortCount());
+    std::vector<control::ServiceCalls> all(in.TakeVarintCount());
     for (control::ServiceCalls& calls : all) {
       in.Take(calls.service);
-      calls.per_root = in.TakeShortFraction();
+      calls.per_root = in.TakeVarintFraction();
     }
     const auto root = std::find_if(
         roots.begin(), roots.end(),
@@ -86,24 +86,24 @@
   PutAddress(frame.self, writer);
   writer.PutText(frame.zone);
   writer.PutText(frame.deployment);
-  writer.Put(static_cast<std::uint32_t>(frame.others.size()));
-  for (const NodeAddress& node : frame.others) {
+  writer.Put(static_cast<std::uint32_t>(frame.known_nodes.size()));
+  for (const NodeAddress& node : frame.known_nodes) {
     PutAddress(node, writer);
   }
-  writer.Put(static_cast<std::uint32_t>(frame.remembered.size()));
-  for (const InstanceRecord& record : frame.remembered) {
+  writer.Put(static_cast<std::uint32_t>(frame.draining_instances.size()));
+  for (const InstanceRecord& record : frame.draining_instances) {
     writer.PutText(record.node);
     writer.PutText(record.instance);
     writer.Put(record.sequence);
     writer.PutByte(static_cast<std::uint8_t>(record.state));
   }
-  writer.Put(frame.dialect);
+  writer.Put(frame.protocol_version);
   writer.Put(frame.known_incarnation);
-  for (const InstanceRecord& record : frame.remembered) {
-    writer.Put(record.born);
+  for (const InstanceRecord& record : frame.draining_instances) {
+    writer.Put(record.started_at);
   }
-  writer.Put(frame.former_incarnation);
-  PutRepeats(frame.former_repeats, writer);
+  writer.Put(frame.previous_incarnation);
+  PutRepeats(frame.previous_repeats, writer);
 }
 
 bool Decode(std::string_view payload, HelloFrame& frame) {
@@ -111,35 +111,35 @@
   TakeAddress(in, frame.self);
   in.TakeText(frame.zone);
   in.TakeText(frame.deployment);
-  frame.others.resize(in.TakeCount());
-  for (NodeAddress& node : frame.others) {
+  frame.known_nodes.resize(in.TakeCount());
+  for (NodeAddress& node : frame.known_nodes) {
     TakeAddress(in, node);
   }
-  frame.remembered.resize(in.TakeCount());
-  for (InstanceRecord& record : frame.remembered) {
+  frame.draining_instances.resize(in.TakeCount());
+  for (InstanceRecord& record : frame.draining_instances) {
     in.TakeText(record.node);
     in.TakeText(record.instance);
     in.Take(record.sequence);
     record.state = static_cast<InstanceState>(in.TakeByte());
-    record.born = 0;
+    record.started_at = 0;
   }
   // An older node says nothing of it.
-  frame.dialect = 0;
+  frame.protocol_version = 0;
   frame.known_incarnation = 0;
   if (!in.IsAtEnd()) {
-    in.Take(frame.dialect);
+    in.Take(frame.protocol_version);
   }
   if (!in.IsAtEnd()) {
     in.Take(frame.known_incarnation);
-    for (InstanceRecord& record : frame.remembered) {
-      in.Take(record.born);
+    for (InstanceRecord& record : frame.draining_instances) {
+      in.Take(record.started_at);
     }
   }
-  frame.former_incarnation = 0;
+  frame.previous_incarnation = 0;
   if (!in.IsAtEnd()) {
-    in.Take(frame.former_incarnation);
+    in.Take(frame.previous_incarnation);
   }
-  TakeRepeats(in, frame.former_repeats);
+  TakeRepeats(in, frame.previous_repeats);
   return in.IsGood();
 }
 
@@ -152,7 +152,7 @@
   load.demand = state.demand;
   load.roots = state.roots;
   load.repeats = state.repeats;
-  load.erring = state.erring;
+  load.error_rate = state.error_rate;
   return load;
 }
 
@@ -173,18 +173,19 @@
   }
   state.roots = std::move(load.roots);
   state.repeats = std::move(load.repeats);
-  state.erring = load.erring;
+  state.error_rate = load.error_rate;
 }
 
-bool HaveSameFactsButVersion(const StateFrame& a, const StateFrame& b) {
+bool EqualExceptLoadAndVersion(const StateFrame& a, const StateFrame& b) {
   return a.is_stopping == b.is_stopping && a.service == b.service &&
-         a.zone == b.zone && a.instance == b.instance && a.born == b.born &&
-         a.state == b.state && a.slots == b.slots &&
-         a.has_source == b.has_source;
+         a.zone == b.zone && a.instance == b.instance &&
+         a.started_at == b.started_at && a.state == b.state &&
+         a.slots == b.slots && a.has_source == b.has_source;
 }
 
-bool HaveSameFacts(const StateFrame& a, const StateFrame& b) {
-  return a.policy_version == b.policy_version && HaveSameFactsButVersion(a, b);
+bool EqualExceptLoad(const StateFrame& a, const StateFrame& b) {
+  return a.policy_version == b.policy_version &&
+         EqualExceptLoadAndVersion(a, b);
 }
 
 void AppendNodes(const std::vector<NodeAddress>& nodes, std::string& out) {
@@ -206,48 +207,48 @@
 
 void Append(const LoadFrame& frame, std::string& out) {
   Writer writer(FrameType::kLoad, out);
-  writer.PutShort(frame.running);
-  writer.PutShort(frame.waiting);
-  writer.PutShortFraction(frame.work_ms);
-  writer.PutShortFraction(frame.calls_per_run);
-  writer.PutShort(frame.demand.size());
+  writer.PutVarint(frame.running);
+  writer.PutVarint(frame.waiting);
+  writer.PutVarintFraction(frame.work_ms);
+  writer.PutVarintFraction(frame.calls_per_run);
+  writer.PutVarint(frame.demand.size());
   for (const control::RouteDemand& entry : frame.demand) {
     writer.Put(entry.route);
-    writer.PutShortFraction(entry.calls_per_s);
-    writer.PutShortFraction(entry.work_ms);
+    writer.PutVarintFraction(entry.calls_per_s);
+    writer.PutVarintFraction(entry.work_ms);
   }
-  writer.PutShort(frame.roots.size());
+  writer.PutVarint(frame.roots.size());
   for (const control::RootRate& entry : frame.roots) {
     writer.Put(entry.route);
-    writer.PutShortFraction(entry.offered_per_s);
-    writer.PutShortFraction(entry.let_in_per_s);
+    writer.PutVarintFraction(entry.offered_per_s);
+    writer.PutVarintFraction(entry.let_in_per_s);
   }
   PutRepeats(frame.repeats, writer);
   PutCalls(frame.roots, writer);
-  writer.PutShortFraction(frame.erring);
+  writer.PutVarintFraction(frame.error_rate);
 }
 
 bool Decode(std::string_view payload, LoadFrame& frame) {
   Reader in(payload);
-  frame.running = in.TakeShortNumber();
-  frame.waiting = in.TakeShortNumber();
-  frame.work_ms = in.TakeShortFraction();
-  frame.calls_per_run = in.TakeShortFraction();
-  frame.demand.resize(in.TakeShortCount());
+  frame.running = in.TakeVarint32();
+  frame.waiting = in.TakeVarint32();
+  frame.work_ms = in.TakeVarintFraction();
+  frame.calls_per_run = in.TakeVarintFraction();
+  frame.demand.resize(in.TakeVarintCount());
   for (control::RouteDemand& entry : frame.demand) {
     in.Take(entry.route);
-    entry.calls_per_s = in.TakeShortFraction();
-    entry.work_ms = in.TakeShortFraction();
+    entry.calls_per_s = in.TakeVarintFraction();
+    entry.work_ms = in.TakeVarintFraction();
   }
-  frame.roots.resize(in.TakeShortCount());
+  frame.roots.resize(in.TakeVarintCount());
   for (control::RootRate& entry : frame.roots) {
     in.Take(entry.route);
-    entry.offered_per_s = in.TakeShortFraction();
-    entry.let_in_per_s = in.TakeShortFraction();
+    entry.offered_per_s = in.TakeVarintFraction();
+    entry.let_in_per_s = in.TakeVarintFraction();
   }
   TakeRepeats(in, frame.repeats);
   TakeCalls(in, frame.roots);
-  frame.erring = TakeErring(in);
+  frame.error_rate = TakeErrorRate(in);
   return in.IsGood();
 }
 
@@ -277,11 +278,11 @@
     writer.PutFraction(entry.offered_per_s);
     writer.PutFraction(entry.let_in_per_s);
   }
-  writer.Put(frame.born);
+  writer.Put(frame.started_at);
   PutRepeats(frame.repeats, writer);
   writer.PutByte(frame.has_source ? 1 : 0);
   PutCalls(frame.roots, writer);
-  writer.PutShortFraction(frame.erring);
+  writer.PutVarintFraction(frame.error_rate);
 }
 
 bool Decode(std::string_view payload, StateFrame& frame) {
@@ -311,14 +312,14 @@
     entry.let_in_per_s = in.TakeFraction();
   }
   // An older node says nothing of it.
-  frame.born = 0;
+  frame.started_at = 0;
   if (!in.IsAtEnd()) {
-    in.Take(frame.born);
+    in.Take(frame.started_at);
   }
   TakeRepeats(in, frame.repeats);
   frame.has_source = !in.IsAtEnd() && in.TakeByte() != 0;
   TakeCalls(in, frame.roots);
-  frame.erring = TakeErring(in);
+  frame.error_rate = TakeErrorRate(in);
   return in.IsGood();
 }
 
--- a/libs/relay/src/peer_table.cc
+++ b/libs/relay/src/peer_table.cc
@@ -17,24 +17,24 @@
 /// Time until it is tried again to accept while no descriptor is free.
 constexpr std::chrono::milliseconds kAcceptPause{100};
 /// State is told this often while the target works, and otherwise.
-constexpr Millis kTellBusy{200};
-constexpr Millis kTellIdle{1000};
+constexpr Millis kBusyReportInterval{200};
+constexpr Millis kIdleReportInterval{1000};
 /// A busy node tells at most one state in so many milliseconds, over all links:
 /// with many nodes each link gets one less often.
-constexpr std::int64_t kTellPerLink = 3;
+constexpr std::int64_t kReportMillisPerLink = 3;
 /// Silence after which a link is given up: two states of an idle node missed.
-constexpr Millis kSilent{2200};
+constexpr Millis kLinkTimeout{2200};
 /// A tick that comes this late means that the host was suspended or starved.
-constexpr Millis kSuspended{1000};
+constexpr Millis kSuspensionGap{1000};
 constexpr Millis kDialTimeout{1000};
-constexpr Millis kFirstDialWait{100};
-constexpr Millis kLastDialWait{2000};
+constexpr Millis kMinDialBackoff{100};
+constexpr Millis kMaxDialBackoff{2000};
 /// A node that could not be reached for so long is no longer dialled; it dials
 /// us when it comes back.
-constexpr Millis kForgetAfter{60'000};
+constexpr Millis kRemoveAfter{60'000};
 /// A node that was not reached for so long counts as gone rather than cut off:
 /// as long as the parts of a network were seen to lose each other, twice over.
-constexpr Millis kCutOffAtMost{30'000};
+constexpr Millis kMaxPartitionTime{30'000};
 
 }  // namespace
 
@@ -86,8 +86,8 @@
     if (this->is_closed || !this->acceptor.is_open()) {
       return;
     }
-    if (IsShortage(error)) {
-      this->AcceptLater();
+    if (IsResourceShortage(error)) {
+      this->RetryAcceptLater();
       return;
     }
     if (!error) {
@@ -110,7 +110,7 @@
   });
 }
 
-void PeerTable::AcceptLater() {
+void PeerTable::RetryAcceptLater() {
   this->accept_pause.expires_after(kAcceptPause);
   this->accept_pause.async_wait([this](boost::system::error_code error) {
     if (!error && !this->is_closed) {
@@ -119,7 +119,7 @@
   });
 }
 
-bool PeerTable::Learn(const NodeAddress& node) {
+bool PeerTable::AddNode(const NodeAddress& node) {
   if (node.name == this->self->node.name || node.address.empty()) {
     return false;
   }
@@ -131,7 +131,7 @@
   if (known == this->peers.end()) {
     const PeerPointer peer = std::make_shared<Peer>();
     peer->node = node;
-    peer->lost_at = BootTimeNow();
+    peer->disconnected_at = BootTimeNow();
     this->peers.push_back(peer);
     return true;
   }
@@ -140,21 +140,21 @@
     return false;
   }
   // Started anew: what is known of the one before no longer holds.
-  NoteStart(node.incarnation, *peer);
+  UpdateIncarnation(node.incarnation, *peer);
   peer->node = node;
   peer->next_dial = Millis{0};
-  peer->dial_wait = Millis{0};
+  peer->dial_backoff = Millis{0};
   if (peer->link != nullptr) {
-    this->LoseLink(peer);
+    this->DropLink(peer);
   }
   return false;
 }
 
 void PeerTable::Dial(Millis now, const PeerPointer& peer) {
   peer->is_dialling = true;
-  peer->dial_wait =
-      std::min(kLastDialWait, std::max(kFirstDialWait, peer->dial_wait * 2));
-  peer->next_dial = now + kDialTimeout + peer->dial_wait;
+  peer->dial_backoff = std::min(
+      kMaxDialBackoff, std::max(kMinDialBackoff, peer->dial_backoff * 2));
+  peer->next_dial = now + kDialTimeout + peer->dial_backoff;
   const std::shared_ptr<boost::asio::ip::tcp::socket> socket =
       std::make_shared<boost::asio::ip::tcp::socket>(this->loop);
   const std::weak_ptr<boost::asio::ip::tcp::socket> weak = socket;
@@ -176,17 +176,18 @@
         if (this->is_closed) {
           return;
         }
-        peer->is_refused = error == boost::asio::error::connection_refused;
+        peer->is_connection_refused =
+            error == boost::asio::error::connection_refused;
         if (error) {
-          peer->next_dial = BootTimeNow() + peer->dial_wait;
+          peer->next_dial = BootTimeNow() + peer->dial_backoff;
           return;
         }
-        this->Adopt(peer, std::move(*socket));
+        this->AttachLink(peer, std::move(*socket));
       });
 }
 
-void PeerTable::Adopt(const PeerPointer& peer,
-                      boost::asio::ip::tcp::socket socket) {
+void PeerTable::AttachLink(const PeerPointer& peer,
+                           boost::asio::ip::tcp::socket socket) {
   if (peer->link != nullptr) {
     return;
   }
@@ -202,67 +203,69 @@
   link_events.on_closed = [this, weak](const PeerLinkPointer& link) {
     const PeerPointer open = weak.lock();
     if (open != nullptr && open->link == link) {
-      this->LoseLink(open);
+      this->DropLink(open);
     }
   };
   peer->link = std::make_shared<PeerLink>(std::move(socket), this->next_link++,
                                           std::move(link_events));
-  peer->is_greeted = false;
+  peer->has_reported = false;
   this->SendHello(*peer->link, peer->node.name);
   peer->link->Start();
-  peer->link->FlushSoon();
+  peer->link->ScheduleFlush();
 }
 
-void PeerTable::LoseLink(const PeerPointer& peer) {
+void PeerTable::DropLink(const PeerPointer& peer) {
   if (peer->link == nullptr) {
     return;
   }
   peer->link->Close();
   peer->link.reset();
-  peer->is_greeted = false;
+  peer->has_reported = false;
   peer->is_suspect = false;
-  peer->lost_at = BootTimeNow();
-  peer->next_dial = peer->lost_at + peer->dial_wait;
+  peer->disconnected_at = BootTimeNow();
+  peer->next_dial = peer->disconnected_at + peer->dial_backoff;
   LogEvent(kEventLinkLost, {{"peer", peer->node.name}});
-  this->events.on_lost(peer);
+  this->events.on_link_lost(peer);
 }
 
-const std::vector<PeerPointer>& PeerTable::Of(const std::string& service) {
+const std::vector<PeerPointer>& PeerTable::PeersOfService(
+    const std::string& service) {
   const auto found = this->by_service.find(service);
   if (found != this->by_service.end()) {
     return found->second;
   }
   std::vector<PeerPointer>& members = this->by_service[service];
   for (const PeerPointer& peer : this->peers) {
-    if (peer->told.service == service) {
+    if (peer->reported.service == service) {
       members.push_back(peer);
     }
   }
   return members;
 }
 
-std::uint32_t PeerTable::CountLive() const {
+std::uint32_t PeerTable::CountReachable() const {
   return static_cast<std::uint32_t>(std::count_if(
       this->peers.begin(), this->peers.end(),
       [](const PeerPointer& peer) { return peer->IsReachable(); }));
 }
 
-PeerTable::Reach PeerTable::ReachOfNodes(Millis now) const {
-  Reach reach;
+PeerTable::Reachability PeerTable::MeasureReachability(Millis now) const {
+  Reachability reach;
   for (const PeerPointer& peer : this->peers) {
     const bool is_reached = peer->IsReachable();
-    const bool may_be_cut_off = !peer->is_refused && !peer->told.is_stopping &&
-                                now - peer->lost_at <= kCutOffAtMost;
-    reach.reached += is_reached ? 1 : 0;
+    const bool may_be_cut_off =
+        !peer->is_connection_refused && !peer->reported.is_stopping &&
+        now - peer->disconnected_at <= kMaxPartitionTime;
+    reach.reachable += is_reached ? 1 : 0;
     reach.known += is_reached || may_be_cut_off ? 1 : 0;
   }
   return reach;
 }
 
-void PeerTable::ForgetLost(Millis now) {
+void PeerTable::RemoveUnreachable(Millis now) {
   const auto is_gone = [now](const PeerPointer& peer) {
     return !peer->is_self && peer->link == nullptr && !peer->is_dialling &&
-           now - peer->lost_at > kForgetAfter;
+           now - peer->disconnected_at > kRemoveAfter;
   };
   const auto first =
       std::remove_if(this->peers.begin(), this->peers.end(), is_gone);
@@ -276,20 +279,21 @@
 /// still, so the link stays for a while.
 void PeerTable::CheckSilence(Millis now, const PeerPointer& peer) {
   const Millis heard = peer->link->LastReceived();
-  const std::uint32_t answers_due = peer->answer_due > heard ? 1 : 0;
-  const control::LinkSilence silence{now, heard, peer->pinged,
+  const std::uint32_t answers_due = peer->last_query_at > heard ? 1 : 0;
+  const control::LinkSilence silence{now, heard, peer->last_pinged,
                                      peer->first_pinged,
                                      peer->outstanding + answers_due};
-  const control::SilenceStep step = peer->is_greeted
+  const control::SilenceStep step = peer->has_reported
                                         ? control::StepOnSilence(silence)
                                         : control::SilenceStep::kNothing;
   const bool is_asked = peer->first_pinged > heard;
   if (step == control::SilenceStep::kAsk ||
-      (step == control::SilenceStep::kSuspect && now < this->patient_until)) {
-    peer->pinged = now;
+      (step == control::SilenceStep::kSuspect &&
+       now < this->silence_tolerated_until)) {
+    peer->last_pinged = now;
     peer->first_pinged = is_asked ? peer->first_pinged : now;
-    AppendPing(peer->link->Out());
-    peer->link->FlushSoon();
+    AppendPing(peer->link->OutputBuffer());
+    peer->link->ScheduleFlush();
     return;
   }
   if (step == control::SilenceStep::kSuspect && !peer->is_suspect &&
@@ -304,17 +308,20 @@
 }
 
 void PeerTable::Tick(Millis now) {
-  if (now - this->last_tick > kSuspended) {
+  if (now - this->last_tick > kSuspensionGap) {
     // This host stood still; what arrived meanwhile is still to be read.
-    this->patient_until = now + kSilent;
+    this->silence_tolerated_until = now + kLinkTimeout;
   }
   this->last_tick = now;
-  const bool is_busy = this->self->told.running + this->self->told.waiting > 0;
+  const bool is_busy =
+      this->self->reported.running + this->self->reported.waiting > 0;
   const Millis by_links{static_cast<std::int64_t>(this->accepted.size()) *
-                        kTellPerLink};
-  const Millis busy_wait = std::clamp(by_links, kTellBusy, kTellIdle);
-  if (now - this->last_told >= (is_busy ? busy_wait : kTellIdle)) {
-    this->TellNow();
+                        kReportMillisPerLink};
+  const Millis busy_wait =
+      std::clamp(by_links, kBusyReportInterval, kIdleReportInterval);
+  if (now - this->last_announced >=
+      (is_busy ? busy_wait : kIdleReportInterval)) {
+    this->AnnounceState();
   }
   const std::vector<PeerPointer> all = this->peers;
   for (const PeerPointer& peer : all) {
@@ -328,16 +335,16 @@
       continue;
     }
     this->CheckSilence(now, peer);
-    if (now >= this->patient_until &&
-        now - peer->link->LastReceived() > kSilent) {
+    if (now >= this->silence_tolerated_until &&
+        now - peer->link->LastReceived() > kLinkTimeout) {
       LogEvent(kEventLinkSilent, {{"peer", peer->node.name}});
-      this->LoseLink(peer);
+      this->DropLink(peer);
       continue;
     }
     this->PushPolicy(now, peer);
   }
-  this->AskForPolicy(now);
-  this->ForgetLost(now);
+  this->RequestPolicy(now);
+  this->RemoveUnreachable(now);
 }
 
 void PeerTable::Close() {
--- /dev/null
+++ b/libs/relay/src/quarantine_exchange.cc
@@ -0,0 +1,288 @@
+#include "almondlink/relay/quarantine_exchange.h"
+
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+#include "almondlink/base/event_log.h"
+#include "almondlink/base/hash.h"
+
+namespace almondlink::relay {
+
+namespace {
+
+/// A trial is asked for again after this, by the node that waits for it.
+constexpr Millis kRequestInterval{50};
+/// A trial whose node says nothing more counts as over so long after its
+/// caller's time.
+constexpr Millis kTrialTimeoutMargin{500};
+
+/// Whether the node permits trials.
+bool CanCoordinate(const Peer& peer) {
+  return !peer.reported.is_stopping && peer.IsReachable() &&
+         (peer.is_self ||
+          (!peer.is_suspect && peer.protocol_version >= kVersionQuarantine));
+}
+
+QuarantineUpdate MakeUpdate(const control::RequestDigest& digest,
+                            const control::BlameRecord& record,
+                            Millis now) {
+  QuarantineUpdate update;
+  update.digest = digest;
+  update.crashed_incarnations = record.starts;
+  update.failed_trials = record.failed_trials;
+  update.age = now - record.last_end;
+  return update;
+}
+
+}  // namespace
+
+const control::BlameRules& QuarantineExchange::Rules() {
+  static const control::BlameRules kRules;
+  return kRules;
+}
+
+QuarantineExchange::QuarantineExchange(const RelaySettings& settings_in,
+                                       PeerTable& peers_in,
+                                       TrialPermitHandler on_permit_in)
+    : settings(settings_in),
+      peers(peers_in),
+      on_permit(std::move(on_permit_in)) {}
+
+void QuarantineExchange::SetConfirmationHandlers(
+    std::function<void(const control::RequestDigest&,
+                       const control::BlameRecord&)> on_guilty_in,
+    std::function<void(const control::RequestDigest&)> on_cleared_in) {
+  this->on_confirmed = std::move(on_guilty_in);
+  this->on_cleared = std::move(on_cleared_in);
+}
+
+void QuarantineExchange::MergeStored(const control::RequestDigest& digest,
+                                     const control::BlameRecord& record) {
+  control::MergeBlame(Rules(), BootTimeNow(), digest, record, this->table);
+}
+
+bool QuarantineExchange::IsPathUnknown(std::uint64_t path) const {
+  return !control::KnowsPath(path, this->table);
+}
+
+control::BlameVerdict QuarantineExchange::Decide(
+    const control::RequestDigest& digest,
+    Millis now) const {
+  return control::Judge(Rules(), now, digest, this->table);
+}
+
+void QuarantineExchange::Broadcast(const QuarantineFrame& frame) {
+  for (const PeerPointer& peer : this->peers.All()) {
+    if (!peer->is_self && peer->IsReachable() &&
+        peer->protocol_version >= kVersionQuarantine) {
+      Append(frame, peer->link->OutputBuffer());
+      peer->link->ScheduleFlush();
+    }
+  }
+}
+
+bool QuarantineExchange::RecordTargetCrash(const control::RequestDigest& digest,
+                                           const control::TargetEnd& end,
+                                           Millis now) {
+  if (!control::NoteTargetEnd(Rules(), now, digest, end, this->table)) {
+    return false;
+  }
+  const control::BlameRecord& record = this->table.records[digest];
+  this->Broadcast({{MakeUpdate(digest, record, now)}});
+  if (end.is_on_trial && this->on_confirmed) {
+    this->on_confirmed(digest, record);
+  }
+  return true;
+}
+
+bool QuarantineExchange::RecordCompletedRun(
+    const control::RequestDigest& digest) {
+  const control::BlameRecord* before = this->Find(digest);
+  const bool was_confirmed = before != nullptr && before->failed_trials > 0;
+  if (!control::NoteWholeRun(Rules(), BootTimeNow(), digest, this->table)) {
+    return false;
+  }
+  if (was_confirmed && this->on_cleared) {
+    this->on_cleared(digest);
+  }
+  QuarantineUpdate update;
+  update.digest = digest;
+  update.is_completed = true;
+  this->Broadcast({{update}});
+  return true;
+}
+
+bool QuarantineExchange::Lift(const std::string& digest) {
+  const auto known =
+      std::find_if(this->table.records.begin(), this->table.records.end(),
+                   [&digest](const auto& entry) {
+                     return control::ToString(entry.first) == digest;
+                   });
+  if (known == this->table.records.end()) {
+    return false;
+  }
+  const control::RequestDigest lifted = known->first;
+  LogEvent(kEventBlameLifted,
+           {{"digest", digest},
+            {"ends", std::to_string(known->second.starts.size())},
+            {"failed_trials", std::to_string(known->second.failed_trials)}});
+  this->RecordCompletedRun(lifted);
+  return true;
+}
+
+std::string QuarantineExchange::ListQuarantined(Millis now) const {
+  std::string text = "digest\tends\tfailed_trials\tstate\twait_ms\tage_ms\n";
+  for (const auto& [digest, record] : this->table.records) {
+    const control::BlameVerdict verdict = this->Decide(digest, now);
+    if (verdict.step == control::BlameStep::kGo) {
+      continue;
+    }
+    const bool is_refused = verdict.step == control::BlameStep::kRefuse;
+    text += control::ToString(digest) + "\t" +
+            std::to_string(record.starts.size()) + "\t" +
+            std::to_string(record.failed_trials) + "\t" +
+            (is_refused ? "refused" : "on-trial") + "\t" +
+            std::to_string(verdict.wait.count) + "\t" +
+            std::to_string((now - record.last_end).count) + "\n";
+  }
+  return text;
+}
+
+void QuarantineExchange::OnUpdates(const QuarantineFrame& frame) {
+  const Millis now = BootTimeNow();
+  for (const QuarantineUpdate& update : frame.updates) {
+    if (update.is_completed) {
+      control::NoteWholeRun(Rules(), now, update.digest, this->table);
+      continue;
+    }
+    control::BlameRecord told;
+    told.starts = update.crashed_incarnations;
+    told.failed_trials = update.failed_trials;
+    told.last_end = now - update.age;
+    control::MergeBlame(Rules(), now, update.digest, told, this->table);
+  }
+}
+
+void QuarantineExchange::OnPeerConnected(const PeerPointer& peer) {
+  if (peer->is_self || peer->protocol_version < kVersionQuarantine) {
+    return;
+  }
+  const Millis now = BootTimeNow();
+  QuarantineFrame frame;
+  for (const auto& [digest, record] : this->table.records) {
+    if (control::IsSuspect(Rules(), record)) {
+      frame.updates.push_back(MakeUpdate(digest, record, now));
+    }
+  }
+  if (!frame.updates.empty()) {
+    Append(frame, peer->link->OutputBuffer());
+    peer->link->ScheduleFlush();
+  }
+}
+
+PeerPointer QuarantineExchange::TrialCoordinator(
+    const std::string& service) const {
+  const std::uint64_t key = ServiceKeyOf(service);
+  PeerPointer coordinator = this->peers.SelfPeer();
+  std::uint64_t highest = 0;
+  for (const PeerPointer& peer : this->peers.All()) {
+    const std::uint64_t rank =
+        CanCoordinate(*peer) ? StableHash(peer->node.name, key) : 0;
+    if (rank > highest) {
+      highest = rank;
+      coordinator = peer;
+    }
+  }
+  return coordinator;
+}
+
+/// Name of the node whose target may run the trial; empty if it must wait.
+std::string QuarantineExchange::GrantTrial(const control::RequestDigest& digest,
+                                           const std::string& service,
+                                           Millis left,
+                                           Millis now) {
+  if (this->Decide(digest, now).step == control::BlameStep::kRefuse) {
+    return {};
+  }
+  std::vector<control::TrialPlace> places;
+  for (const PeerPointer& peer : this->peers.PeersOfService(service)) {
+    const bool is_open = peer->IsReachable() && !peer->is_suspect &&
+                         !peer->reported.is_stopping &&
+                         peer->reported.state == InstanceState::kReady;
+    if (is_open) {
+      places.push_back({peer->node.name, peer->reported.running +
+                                             peer->reported.waiting +
+                                             peer->sent_since_report});
+    }
+  }
+  return control::PermitTrial(now, digest, service, places,
+                              now + left + kTrialTimeoutMargin, this->trials)
+      .value_or(std::string());
+}
+
+void QuarantineExchange::RequestTrial(const control::RequestDigest& digest,
+                                      const std::string& service,
+                                      Millis left,
+                                      Millis now) {
+  const auto [last, is_first] = this->last_requested.emplace(digest, now);
+  if (!is_first && now - last->second < kRequestInterval) {
+    return;
+  }
+  last->second = now;
+  const PeerPointer coordinator = this->TrialCoordinator(service);
+  if (coordinator->is_self) {
+    const std::string node = this->GrantTrial(digest, service, left, now);
+    if (!node.empty()) {
+      this->on_permit(digest, node);
+    }
+    return;
+  }
+  TrialRequestFrame ask;
+  ask.digest = digest;
+  ask.service = service;
+  ask.remaining_ms = static_cast<std::uint32_t>(left.count);
+  Append(ask, coordinator->link->OutputBuffer());
+  coordinator->link->ScheduleFlush();
+}
+
+void QuarantineExchange::OnTrialRequest(const PeerLinkPointer& link,
+                                        const TrialRequestFrame& ask) {
+  TrialResponseFrame answer;
+  answer.digest = ask.digest;
+  answer.node = this->GrantTrial(ask.digest, ask.service,
+                                 Millis{ask.remaining_ms}, BootTimeNow());
+  Append(answer, link->OutputBuffer());
+  link->ScheduleFlush();
+}
+
+void QuarantineExchange::OnTrialResponse(const TrialResponseFrame& answer) {
+  if (!answer.node.empty()) {
+    this->on_permit(answer.digest, answer.node);
+  }
+}
+
+void QuarantineExchange::EndTrial(const control::RequestDigest& digest,
+                                  const std::string& service) {
+  control::EndTrial(digest, this->trials);
+  const PeerPointer coordinator = this->TrialCoordinator(service);
+  if (!coordinator->is_self) {
+    Append(TrialEndedFrame{digest}, coordinator->link->OutputBuffer());
+    coordinator->link->ScheduleFlush();
+  }
+}
+
+void QuarantineExchange::OnTrialEnded(const TrialEndedFrame& over) {
+  control::EndTrial(over.digest, this->trials);
+}
+
+void QuarantineExchange::Tick(Millis now) {
+  control::ForgetOldBlame(Rules(), now, this->table);
+  for (auto entry = this->last_requested.begin();
+       entry != this->last_requested.end();) {
+    const bool is_over = now - entry->second > kRequestInterval * 2;
+    entry = is_over ? this->last_requested.erase(entry) : std::next(entry);
+  }
+}
+
+}  // namespace almondlink::relay
--- a/libs/relay/src/quota_exchange.cc
+++ b/libs/relay/src/quota_exchange.cc
@@ -14,11 +14,11 @@
 /// itself for the lender of accounts that are not its own: it lends nothing
 /// before. Links are there within some two hundred milliseconds; those who
 /// start with it may be as much later again.
-constexpr Millis kSettleTime{250};
-constexpr Millis kAllSettled{1000};
+constexpr Millis kLendDelay{250};
+constexpr Millis kStartupTime{1000};
 /// A tick that comes this late means that the host stood still, and others may
 /// lend in its place: they suspect it after 0.7 s.
-constexpr Millis kSuspended{600};
+constexpr Millis kSuspensionGap{600};
 
 control::QuotaLimit LimitOf(const policy::ClientAccount& account) {
   return {account.limit.per_s, account.limit.burst};
@@ -26,9 +26,10 @@
 
 /// Whether calls and asks reach the node and it knows of loans. One that is
 /// about to stop hands its accounts over.
-bool MayLend(const Peer& peer) {
-  return !peer.told.is_stopping && peer.IsReachable() &&
-         (peer.is_self || (!peer.is_suspect && peer.dialect >= kLendsQuota));
+bool CanLend(const Peer& peer) {
+  return !peer.reported.is_stopping && peer.IsReachable() &&
+         (peer.is_self ||
+          (!peer.is_suspect && peer.protocol_version >= kVersionQuotaLending));
 }
 
 /// Rank of a node among the lenders of an account: the highest one lends.
@@ -49,16 +50,16 @@
 
 void QuotaExchange::SetTable(policy::RouteTablePointer table_in) {
   if (this->table == nullptr) {
-    this->ready_since = BootTimeNow();
+    this->first_policy_at = BootTimeNow();
   }
   this->table = std::move(table_in);
 }
 
 PeerPointer QuotaExchange::Lender(policy::AccountKey account) const {
   PeerPointer lender = this->peers.SelfPeer();
-  std::uint64_t highest = MayLend(*lender) ? RankOf(*lender, account) : 0;
+  std::uint64_t highest = CanLend(*lender) ? RankOf(*lender, account) : 0;
   for (const PeerPointer& peer : this->peers.All()) {
-    if (peer->is_self || !MayLend(*peer)) {
+    if (peer->is_self || !CanLend(*peer)) {
       continue;
     }
     const std::uint64_t rank = RankOf(*peer, account);
@@ -76,15 +77,16 @@
 }
 
 bool QuotaExchange::IsSettled(Millis now) const {
-  return this->table != nullptr && now - this->ready_since >= kSettleTime;
+  return this->table != nullptr && now - this->first_policy_at >= kLendDelay;
 }
 
-bool QuotaExchange::MayBeUnsettled(Millis now) const {
-  return now - this->ready_since < kAllSettled;
+bool QuotaExchange::IsStartingUp(Millis now) const {
+  return now - this->first_policy_at < kStartupTime;
 }
 
-control::QuotaAnswer QuotaExchange::Take(const policy::ClientAccount& account,
-                                         Millis now) {
+control::QuotaAnswer QuotaExchange::TakeToken(
+    const policy::ClientAccount& account,
+    Millis now) {
   if (account.limit.per_s <= 0) {
     return control::QuotaAnswer::kTaken;
   }
@@ -92,26 +94,27 @@
   const control::QuotaAnswer answer = control::TakeQuota(now, purse);
   if (answer == control::QuotaAnswer::kTaken) {
     // Ahead of need.
-    this->Ask(account, 0, now);
+    this->RequestTokens(account, 0, now);
   }
   return answer;
 }
 
-bool QuotaExchange::TakeForWaiting(const policy::ClientAccount& account,
-                                   Millis now) {
+bool QuotaExchange::TakeTokenForQueued(const policy::ClientAccount& account,
+                                       Millis now) {
   control::QuotaPurse& purse = this->purses[account.key.Value()];
   return control::TakeFromStock(now, purse) || control::TakeOwn(now, purse);
 }
 
-void QuotaExchange::GiveBack(const policy::ClientAccount& account, Millis now) {
+void QuotaExchange::ReturnToken(const policy::ClientAccount& account,
+                                Millis now) {
   if (account.limit.per_s > 0) {
     control::GiveBack(now, this->purses[account.key.Value()]);
   }
 }
 
-void QuotaExchange::Ask(const policy::ClientAccount& account,
-                        std::uint32_t waiting,
-                        Millis now) {
+void QuotaExchange::RequestTokens(const policy::ClientAccount& account,
+                                  std::uint32_t waiting,
+                                  Millis now) {
   control::QuotaPurse& purse = this->purses[account.key.Value()];
   const std::uint32_t wanted = control::AskFor(now, waiting, purse);
   if (wanted == 0) {
@@ -122,36 +125,40 @@
     this->OnLoan(this->LendTo(account.key, wanted, now));
     return;
   }
-  Append(QuotaAskFrame{account.key.Value(), wanted}, lender->link->Out());
-  lender->link->FlushSoon();
-  lender->answer_due = now;
+  Append(QuotaRequestFrame{account.key.Value(), wanted},
+         lender->link->OutputBuffer());
+  lender->link->ScheduleFlush();
+  lender->last_query_at = now;
 }
 
-bool QuotaExchange::IsEmpty(const policy::ClientAccount& account,
-                            Millis now) const {
+bool QuotaExchange::IsExhausted(const policy::ClientAccount& account,
+                                Millis now) const {
   const auto purse = this->purses.find(account.key.Value());
   return purse != this->purses.end() && now < purse->second.empty_until &&
          !control::IsWorthWaiting(purse->second.wait);
 }
 
-bool QuotaExchange::IsSilent(const policy::ClientAccount& account,
-                             Millis now) const {
+bool QuotaExchange::IsLenderSilent(const policy::ClientAccount& account,
+                                   Millis now) const {
   const auto purse = this->purses.find(account.key.Value());
   return purse == this->purses.end() ||
          control::IsLenderSilent(now, purse->second);
 }
 
-Millis QuotaExchange::WaitOf(const policy::ClientAccount& account) const {
+Millis QuotaExchange::TimeUntilToken(
+    const policy::ClientAccount& account) const {
   const auto purse = this->purses.find(account.key.Value());
   return purse == this->purses.end() ? Millis{0} : purse->second.wait;
 }
 
-double QuotaExchange::DemandOf(const policy::ClientAccount& account) const {
+double QuotaExchange::DemandPerSecond(
+    const policy::ClientAccount& account) const {
   const auto purse = this->purses.find(account.key.Value());
   return purse == this->purses.end() ? 0 : purse->second.demand.per_s;
 }
 
-double QuotaExchange::LentOf(const policy::ClientAccount& account) const {
+double QuotaExchange::LentPerSecond(
+    const policy::ClientAccount& account) const {
   const auto purse = this->purses.find(account.key.Value());
   return purse == this->purses.end() ? 0 : purse->second.lent.per_s;
 }
@@ -169,7 +176,7 @@
   if (!answer.is_lender) {
     // Who asks here may have found the other one silent: it is looked at from
     // here too, within a tenth of a second.
-    lender->answer_due = now;
+    lender->last_query_at = now;
     return answer;
   }
   const control::QuotaLimit limit = LimitOf(*known);
@@ -178,12 +185,13 @@
     answer.loan.granted = wanted;
     return answer;
   }
-  this->NoteSuspension(now);
-  const PeerTable::Reach reach = this->peers.ReachOfNodes(now);
-  const double part = control::LentPart(reach.reached, reach.known);
+  this->ResetAfterSuspension(now);
+  const PeerTable::Reachability reach = this->peers.MeasureReachability(now);
+  const double part = control::LentPart(reach.reachable, reach.known);
   auto bucket = this->buckets.find(account.Value());
   if (bucket == this->buckets.end()) {
-    const Millis since = std::max(this->view_since, this->ready_since);
+    const Millis since =
+        std::max(this->lender_set_since, this->first_policy_at);
     bucket = this->buckets
                  .emplace(account.Value(),
                           control::StartBucket(this->settings.quotas, limit,
@@ -195,12 +203,12 @@
   return answer;
 }
 
-void QuotaExchange::OnAsk(const PeerLinkPointer& link,
-                          const QuotaAskFrame& ask) {
+void QuotaExchange::OnQuotaRequest(const PeerLinkPointer& link,
+                                   const QuotaRequestFrame& ask) {
   const QuotaLoanFrame answer =
       this->LendTo(policy::AccountKey(ask.account), ask.wanted, BootTimeNow());
-  Append(answer, link->Out());
-  link->FlushSoon();
+  Append(answer, link->OutputBuffer());
+  link->ScheduleFlush();
 }
 
 void QuotaExchange::OnLoan(const QuotaLoanFrame& frame) {
@@ -214,23 +222,23 @@
 }
 
 /// After this host stood still: others have lent in its place.
-void QuotaExchange::NoteSuspension(Millis now) {
-  if (now - this->last_tick > kSuspended) {
+void QuotaExchange::ResetAfterSuspension(Millis now) {
+  if (now - this->last_tick > kSuspensionGap) {
     this->buckets.clear();
-    this->view_since = now;
+    this->lender_set_since = now;
   }
 }
 
 void QuotaExchange::Tick(Millis now) {
-  this->NoteSuspension(now);
-  std::uint64_t seen = 0;
+  this->ResetAfterSuspension(now);
+  std::uint64_t set_hash = 0;
   for (const PeerPointer& peer : this->peers.All()) {
     // The order of the nodes does not matter.
-    seen += MayLend(*peer) ? StableHash(peer->node.name) : 0;
+    set_hash += CanLend(*peer) ? StableHash(peer->node.name) : 0;
   }
-  if (seen != this->view) {
-    this->view = seen;
-    this->view_since = now;
+  if (set_hash != this->lender_set_hash) {
+    this->lender_set_hash = set_hash;
+    this->lender_set_since = now;
   }
   this->last_tick = now;
   for (auto entry = this->buckets.begin(); entry != this->buckets.end();) {
--- a/libs/relay/src/relay_node.cc
+++ b/libs/relay/src/relay_node.cc
@@ -13,7 +13,7 @@
 
 /// Time-outs are looked for this often; the shortest that matters is ten times
 /// as long.
-constexpr std::chrono::milliseconds kTick{50};
+constexpr std::chrono::milliseconds kTickInterval{50};
 /// Ticks between two looks at peers and admission, and at idle connections.
 constexpr std::uint32_t kPeerTicks = 2;
 constexpr std::uint32_t kIdleTicks = 10;
@@ -21,13 +21,13 @@
 constexpr Millis kConfirmWait{300};
 /// After the stop signal callers still arrive until two of their once-a-second
 /// checks have failed; the target goes on serving for most of that time.
-constexpr Millis kCallersLeave{2600};
-constexpr Millis kTargetServes{1800};
+constexpr Millis kCallerDrainTime{2600};
+constexpr Millis kStopAnnounceDelay{1800};
 /// A change of the part of its target's answers that are failures is told at
 /// once: others send it a third of their load by mistake until they know.
-constexpr double kToldErrors = 0.3;
+constexpr double kMinReportedErrorChange = 0.3;
 /// Time before the end that is forced in which open calls get an answer.
-constexpr Millis kLastAnswers{400};
+constexpr Millis kFinalAnswerTime{400};
 
 }  // namespace
 
@@ -40,11 +40,11 @@
       served(loop_in,
              this->settings.names,
              this->settings.drain,
-             this->ServedHooks()),
+             this->MakeServedEvents()),
       peers(loop_in,
             this->settings,
             static_cast<std::uint64_t>(WallNow().count),
-            this->PeerHooks()),
+            this->MakePeerEvents()),
       entry(this->settings, this->peers, this->served),
       callers(loop_in,
               this->settings.names,
@@ -56,25 +56,28 @@
               }),
       tick_timer(loop_in) {
   this->served.SetTargetAddress(this->settings.target_address);
-  this->served.SetUsablePart(this->settings.decisions.usable_slots);
-  this->entry.Blame().OnProof(this->hooks.on_guilty, this->hooks.on_cleared);
+  this->served.SetUsableShare(this->settings.decisions.usable_slots);
+  this->entry.Blame().SetConfirmationHandlers(this->hooks.on_confirmed,
+                                              this->hooks.on_cleared);
 }
 
 RelayNode::~RelayNode() = default;
 
-PeerEvents RelayNode::PeerHooks() {
+PeerEvents RelayNode::MakePeerEvents() {
   PeerEvents events;
-  events.on_answer = [this](const PeerPointer& peer, const RawFrame& frame) {
+  events.on_dialled_frame = [this](const PeerPointer& peer,
+                                   const RawFrame& frame) {
     return this->OnAnswerFrame(peer, frame);
   };
-  events.on_call = [this](const PeerLinkPointer& link, const RawFrame& frame) {
+  events.on_accepted_frame = [this](const PeerLinkPointer& link,
+                                    const RawFrame& frame) {
     return this->OnCallFrame(link, frame);
   };
   events.on_accepted_closed = [this](LinkId link) {
-    this->clock_offsets.erase(link);
+    this->min_clock_offsets.erase(link);
     this->served.OnLinkClosed(link);
   };
-  events.on_lost = [this](const PeerPointer& peer) {
+  events.on_link_lost = [this](const PeerPointer& peer) {
     this->entry.OnLinkLost(peer);
   };
   events.on_suspect = [this](const PeerPointer& peer) {
@@ -82,29 +85,30 @@
   };
   events.on_state = [this](const PeerPointer& peer, bool is_first) {
     if (is_first) {
-      this->OnState(peer);
+      this->OnPeerConnected(peer);
     }
   };
   events.on_policy = [this](const std::string& text) {
-    this->TakePolicy(this->hooks.parse(text), text, "peer");
+    this->ApplyPolicy(this->hooks.parse_policy(text), text, "peer");
   };
-  events.on_remembered = [this](const InstanceRecord& record) {
+  events.on_remembered_instance = [this](const InstanceRecord& record) {
     if (record.state == InstanceState::kDraining &&
-        this->served.Remember({record.instance, record.born}) ==
+        this->served.RestoreDraining({record.instance, record.started_at}) ==
             control::ReportEffect::kChanged) {
       this->LogInstance();
-      this->peers.TellNow();
+      this->peers.AnnounceState();
     }
   };
-  events.on_seen = [this](const ReportNumber& report) {
-    this->RunAcks(BootTimeNow(), report);
+  events.on_state_confirmed = [this](const ReportId& report) {
+    this->RunPendingAcks(BootTimeNow(), report);
   };
-  events.on_memory = [this](const std::vector<ServiceRepeats>& told) {
-    this->entry.TakeMemory(told);
-  };
-  events.on_incarnation = [this](std::uint64_t incarnation) {
+  events.on_previous_repeats =
+      [this](const std::vector<ServiceRepeats>& repeats) {
+        this->entry.TakeMemory(repeats);
+      };
+  events.on_incarnation_changed = [this](std::uint64_t incarnation) {
     LogEvent(kEventRenumbered, {{"incarnation", std::to_string(incarnation)}});
-    this->hooks.on_incarnation(incarnation);
+    this->hooks.on_incarnation_changed(incarnation);
   };
   events.make_state = [this]() { return this->MakeState(); };
   events.policy_text = [this]() -> const std::string& {
@@ -113,26 +117,26 @@
   return events;
 }
 
-ServedEvents RelayNode::ServedHooks() {
+ServedEvents RelayNode::MakeServedEvents() {
   ServedEvents events;
   events.on_answer = [this](LinkId link, const AnswerFrame& frame) {
-    if (link == kOwnNode) {
+    if (link == kLocalLink) {
       this->entry.OnAnswer(this->peers.SelfPeer(), frame);
       return;
     }
-    if (const PeerLinkPointer open = this->peers.Accepted(link)) {
-      Append(frame, open->Out());
-      open->FlushSoon();
+    if (const PeerLinkPointer open = this->peers.FindAcceptedLink(link)) {
+      Append(frame, open->OutputBuffer());
+      open->ScheduleFlush();
     }
   };
   events.on_part = [this](LinkId link, const DataFrame& frame) {
-    if (link == kOwnNode) {
+    if (link == kLocalLink) {
       this->entry.OnPart(this->peers.SelfPeer(), frame);
       return;
     }
-    if (const PeerLinkPointer open = this->peers.Accepted(link)) {
-      Append(frame, open->Out());
-      open->FlushSoon();
+    if (const PeerLinkPointer open = this->peers.FindAcceptedLink(link)) {
+      Append(frame, open->OutputBuffer());
+      open->ScheduleFlush();
     }
   };
   events.on_failed = [this](const std::string& request_id, CallReason reason,
@@ -149,15 +153,15 @@
               {"running", std::to_string(this->served.Running())},
               {"waiting", std::to_string(this->served.Waiting())}});
   };
-  events.on_target_ended = [this](const control::InstanceStart& start,
-                                  std::size_t running) {
+  events.on_target_crashed = [this](const control::InstanceStart& start,
+                                    std::size_t running) {
     LogEvent(kEventTargetEnded,
              {{"instance", start.id},
               {"born", std::to_string(start.born)},
               {"service", this->served.Ledger().current.service},
               {"running", std::to_string(running)},
               {"waiting", std::to_string(this->served.Waiting())}});
-    this->peers.TellNow();
+    this->peers.AnnounceState();
   };
   return events;
 }
@@ -165,7 +169,7 @@
 Result<void> RelayNode::Start() {
   BOOST_LEAF_CHECK(this->callers.Listen(this->settings.caller_address));
   BOOST_LEAF_CHECK(this->peers.Listen());
-  this->peers.TellNow();
+  this->peers.AnnounceState();
   this->ScheduleTick();
   return {};
 }
@@ -174,14 +178,14 @@
   StateFrame state;
   const control::InstanceLedger& ledger = this->served.Ledger();
   state.policy_version = this->PolicyVersion();
-  state.is_stopping = this->is_leaving_told;
+  state.is_stopping = this->is_stop_announced;
   state.zone = this->settings.zone.Value();
   state.service = ledger.current.service;
   state.instance = ledger.current.start.id;
-  state.born = ledger.current.start.born;
+  state.started_at = ledger.current.start.born;
   state.sequence = ledger.current.sequence;
-  switch (this->served.IsGone() ? control::InstancePhase::kNone
-                                : ledger.phase) {
+  switch (this->served.IsTargetGone() ? control::InstancePhase::kNone
+                                      : ledger.phase) {
     case control::InstancePhase::kNone:
       state.state = InstanceState::kNone;
       break;
@@ -201,20 +205,20 @@
   state.roots = control::OwnRates(this->entry.Admission());
   state.repeats = this->entry.OwnRepeats(BootTimeNow());
   state.has_source = this->has_source && !this->is_stopping;
-  state.erring = this->served.Erring();
+  state.error_rate = this->served.ErrorRate();
   return state;
 }
 
 void RelayNode::SetHasSource(bool has_source_in) {
   if (this->has_source != has_source_in) {
     this->has_source = has_source_in;
-    this->peers.TellNow();
+    this->peers.AnnounceState();
   }
 }
 
-void RelayNode::TakePolicy(policy::RouteTablePointer table,
-                           const std::string& text,
-                           const char* source) {
+void RelayNode::ApplyPolicy(policy::RouteTablePointer table,
+                            const std::string& text,
+                            const char* source) {
   if (table == nullptr || table->version <= this->PolicyVersion()) {
     return;
   }
@@ -224,11 +228,11 @@
             {"routes", std::to_string(table->routes.size())},
             {"accounts", std::to_string(table->accounts.Size())},
             {"source", source}});
-  this->policy_taken = BootTimeNow();
+  this->policy_applied_at = BootTimeNow();
   this->callers.SetLimits(table->limits);
   this->entry.SetTable(std::move(table));
   this->policy_text = text;
-  this->peers.TellNow();
+  this->peers.AnnounceState();
 }
 
 std::uint64_t RelayNode::PolicyVersion() const {
@@ -268,7 +272,7 @@
   }
   if (effect == control::ReportEffect::kChanged) {
     this->LogInstance();
-    this->peers.TellNow();
+    this->peers.AnnounceState();
   }
   if (report.is_leaving) {
     this->AcknowledgeLeave(std::move(acknowledge));
@@ -282,7 +286,7 @@
                         std::function<void()> acknowledge) {
   if (this->served.OnLeave(start) == control::ReportEffect::kChanged) {
     this->LogInstance();
-    this->peers.TellNow();
+    this->peers.AnnounceState();
   }
   this->AcknowledgeLeave(std::move(acknowledge));
 }
@@ -294,18 +298,21 @@
   pending.until = BootTimeNow() + kConfirmWait;
   pending.acknowledge = std::move(acknowledge);
   this->pending_acks.push_back(std::move(pending));
-  this->peers.TellNow();
+  this->peers.AnnounceState();
 }
 
-void RelayNode::RunAcks(Millis now, const std::optional<ReportNumber>& seen) {
+void RelayNode::RunPendingAcks(Millis now,
+                               const std::optional<ReportId>& confirmed) {
   std::vector<PendingAck> open;
   open.swap(this->pending_acks);
   for (PendingAck& pending : open) {
     // A node that does not tell the start means the current one.
-    const bool is_seen = seen.has_value() &&
-                         pending.report.sequence <= seen->sequence &&
-                         (seen->born == 0 || seen->born == pending.report.born);
-    if (is_seen || now >= pending.until) {
+    const bool is_confirmed =
+        confirmed.has_value() &&
+        pending.report.sequence <= confirmed->sequence &&
+        (confirmed->started_at == 0 ||
+         confirmed->started_at == pending.report.started_at);
+    if (is_confirmed || now >= pending.until) {
       pending.acknowledge();
     } else {
       this->pending_acks.push_back(std::move(pending));
@@ -313,13 +320,13 @@
   }
 }
 
-void RelayNode::OnState(const PeerPointer& peer) {
-  this->entry.Blame().OnPeer(peer);
+void RelayNode::OnPeerConnected(const PeerPointer& peer) {
+  this->entry.Blame().OnPeerConnected(peer);
   LogEvent(kEventPeerSeen,
            {{"peer", peer->node.name},
-            {"service", peer->told.service},
-            {"instance", peer->told.instance},
-            {"version", std::to_string(peer->told.policy_version)}});
+            {"service", peer->reported.service},
+            {"instance", peer->reported.instance},
+            {"version", std::to_string(peer->reported.policy_version)}});
 }
 
 void RelayNode::Reload(const RelaySettings& changed) {
@@ -329,12 +336,12 @@
   this->settings.quotas = changed.quotas;
   this->settings.revoke_after = changed.revoke_after;
   this->settings.decisions = changed.decisions;
-  this->served.SetUsablePart(changed.decisions.usable_slots);
+  this->served.SetUsableShare(changed.decisions.usable_slots);
   this->served.SetTargetAddress(changed.target_address);
 }
 
 void RelayNode::ScheduleTick() {
-  this->tick_timer.expires_after(kTick);
+  this->tick_timer.expires_after(kTickInterval);
   this->tick_timer.async_wait([this](boost::system::error_code error) {
     if (!error && !this->is_stopped) {
       this->Tick();
@@ -348,17 +355,17 @@
   ++this->ticks;
   this->entry.Sweep(now);
   this->served.Sweep(now);
-  this->RunAcks(now, std::nullopt);
-  const double erring = this->peers.SelfPeer()->told.erring;
-  if (std::abs(this->served.Erring() - erring) > kToldErrors) {
-    this->peers.TellNow();
+  this->RunPendingAcks(now, std::nullopt);
+  const double erring = this->peers.SelfPeer()->reported.error_rate;
+  if (std::abs(this->served.ErrorRate() - erring) > kMinReportedErrorChange) {
+    this->peers.AnnounceState();
   }
   if (this->ticks % kPeerTicks == 0) {
     this->peers.Tick(now);
     this->entry.UpdateAdmission(now);
     this->entry.Quotas().Tick(now);
     this->entry.Blame().Tick(now);
-    this->NoteSlotTime();
+    this->AddSlotTime();
     FlushLog();
   }
   if (this->ticks % kIdleTicks == 0) {
@@ -369,11 +376,11 @@
   }
 }
 
-void RelayNode::NoteSlotTime() {
-  constexpr double kSeconds = 0.001 * kTick.count() * kPeerTicks;
+void RelayNode::AddSlotTime() {
+  constexpr double kSeconds = 0.001 * kTickInterval.count() * kPeerTicks;
   const control::InstanceLedger& ledger = this->served.Ledger();
   if (this->entry.IsShort(ledger.current.service)) {
-    this->short_there_s += kSeconds * control::UsableSlots(ledger);
+    this->short_available_s += kSeconds * control::UsableSlots(ledger);
     this->short_used_s += kSeconds * this->served.Running();
   }
 }
@@ -389,23 +396,23 @@
             {"running", std::to_string(this->served.Running())}});
   this->callers.StartClosing();
   // Others read the source of the policy in its place from now on.
-  this->peers.TellNow();
+  this->peers.AnnounceState();
 }
 
 void RelayNode::ContinueStop(Millis now) {
   const Millis since = now - this->stop_started;
-  if (!this->is_leaving_told && since >= kTargetServes) {
-    this->is_leaving_told = true;
-    this->peers.TellNow();
+  if (!this->is_stop_announced && since >= kStopAnnounceDelay) {
+    this->is_stop_announced = true;
+    this->peers.AnnounceState();
   }
-  if (since >= kCallersLeave) {
+  if (since >= kCallerDrainTime) {
     this->callers.CloseIdle();
   }
   const bool is_idle = this->entry.OpenCalls() == 0 &&
                        this->callers.Busy() == 0 &&
                        this->served.Running() + this->served.Waiting() == 0;
-  const bool is_forced = since >= this->settings.grace - kLastAnswers;
-  if ((since >= kCallersLeave && is_idle) || is_forced) {
+  const bool is_forced = since >= this->settings.grace - kFinalAnswerTime;
+  if ((since >= kCallerDrainTime && is_idle) || is_forced) {
     if (!is_idle) {
       LogEvent(kEventDrainForced,
                {{"open_requests", std::to_string(this->entry.OpenCalls())},
--- a/libs/relay/src/served_call.h
+++ b/libs/relay/src/served_call.h
@@ -27,11 +27,11 @@
   LatencyMs dispatched;
   std::string request_id;
   std::string method;
-  std::string start;
+  std::string request_head;
   std::string caller_service;
   std::string body;
   /// What ran for the calls that it made.
-  control::CallCounts ran;
+  control::CallCounts run_counts;
   TargetExchange exchange;
 };
 
--- a/libs/relay/src/served_calls.cc
+++ b/libs/relay/src/served_calls.cc
@@ -14,21 +14,21 @@
 /// Part of the drain time within which late calls still reach a leaving
 /// instance: entry nodes know of it within milliseconds, and the rest is for
 /// timers and a host that is slow.
-constexpr double kDrainPart = 0.6;
+constexpr double kDrainShare = 0.6;
 /// Calls that may wait, in multiples of the slots; what is beyond could not be
 /// served within a deadline of twenty times the work.
 constexpr std::uint32_t kQueuePerSlot = 8;
-constexpr std::uint32_t kShortestQueue = 64;
+constexpr std::uint32_t kMinQueueLimit = 64;
 /// A call whose time left is below this would be cut at the target at once.
-constexpr Millis kLeastLeft{5};
+constexpr Millis kMinRemaining{5};
 /// A sweep that comes this late means that the host was suspended or starved.
-constexpr Millis kSuspended{500};
+constexpr Millis kSuspensionGap{500};
 constexpr double kMicrosPerMilli = 1000;
 constexpr std::uint32_t kMisdirected = 421;
 constexpr std::uint32_t kServerError = 500;
 /// The target's own answer at the deadline: its time was too short, or what it
 /// calls is slow.
-constexpr std::uint32_t kDeadlinePassed = 504;
+constexpr std::uint32_t kGatewayTimeout = 504;
 
 }  // namespace
 
@@ -54,13 +54,15 @@
 
 bool ServedCalls::IsPastDrain(Millis now) const {
   const Millis allowed{static_cast<std::int64_t>(
-      static_cast<double>(this->drain.count) * kDrainPart)};
+      static_cast<double>(this->drain.count) * kDrainShare)};
   return this->ledger.phase == control::InstancePhase::kLeaving &&
          now - this->ledger.leaving_since > allowed;
 }
 
-CallReason ServedCalls::WhyNotServed(Millis now, const CallFrame& frame) const {
-  if (this->ledger.phase == control::InstancePhase::kNone || this->is_gone) {
+CallReason ServedCalls::ReasonToReject(Millis now,
+                                       const CallFrame& frame) const {
+  if (this->ledger.phase == control::InstancePhase::kNone ||
+      this->is_target_gone) {
     return CallReason::kNoInstance;
   }
   if (frame.instance != this->ledger.current.start.id) {
@@ -72,7 +74,9 @@
   return CallReason::kNone;
 }
 
-void ServedCalls::OnCall(LinkId link, const CallFrame& frame, Millis held) {
+void ServedCalls::OnCall(LinkId link,
+                         const CallFrame& frame,
+                         Millis transit_delay) {
   const Millis now = BootTimeNow();
   ++this->counters.calls;
   const CallPointer call = std::make_shared<Call>();
@@ -80,44 +84,45 @@
   call->id = frame.id;
   call->request_id.assign(frame.request_id);
   call->arrived = now;
-  call->info.deadline = now + Millis{frame.left_ms} - held;
+  call->info.deadline = now + Millis{frame.remaining_ms} - transit_delay;
   call->info.root_route = frame.root_route;
   call->info.root_hash = frame.root_hash;
   call->info.priority = frame.priority;
   call->info.depth = frame.depth;
   call->info.is_repeat = frame.is_repeat;
   call->is_repeatable = frame.is_repeatable;
-  call->wait_until =
-      std::min(call->info.deadline - kLeastLeft, now + Millis{frame.wait_ms});
-  CallReason fault = this->WhyNotServed(now, frame);
-  if (fault == CallReason::kNone && call->info.deadline <= now + kLeastLeft) {
-    fault = CallReason::kDeadline;
-  }
-  if (fault != CallReason::kNone) {
-    this->Reject(call, fault);
+  call->wait_until = std::min(call->info.deadline - kMinRemaining,
+                              now + Millis{frame.wait_ms});
+  CallReason rejection = this->ReasonToReject(now, frame);
+  if (rejection == CallReason::kNone &&
+      call->info.deadline <= now + kMinRemaining) {
+    rejection = CallReason::kDeadline;
+  }
+  if (rejection != CallReason::kNone) {
+    this->Reject(call, rejection);
     return;
   }
   control::NoteDemand(frame.root_route, this->meter);
   call->method.assign(frame.method);
-  call->start.reserve(frame.target.size() + frame.fields.size() + 200);
-  call->start.append(frame.method).append(" ").append(frame.target);
-  call->start.append(" HTTP/1.1\r\n").append(frame.fields);
+  call->request_head.reserve(frame.target.size() + frame.fields.size() + 200);
+  call->request_head.append(frame.method).append(" ").append(frame.target);
+  call->request_head.append(" HTTP/1.1\r\n").append(frame.fields);
   call->caller_service.assign(frame.caller_service);
   call->body.assign(frame.body);
   call->order =
       Order{frame.priority, -static_cast<int>(frame.depth), ++this->arrivals};
   this->calls.emplace(CallKey{link, frame.id}, call);
   this->queue.emplace(call->order, call);
-  this->Fill(now);
-  const std::uint32_t most = std::max(
-      kShortestQueue, kQueuePerSlot * control::UsableSlots(this->ledger));
-  if (this->queue.size() > most) {
+  this->FillSlots(now);
+  const std::uint32_t max_queue = std::max(
+      kMinQueueLimit, kQueuePerSlot * control::UsableSlots(this->ledger));
+  if (this->queue.size() > max_queue) {
     const CallPointer last = std::prev(this->queue.end())->second;
     this->Reject(last, CallReason::kFull);
   }
 }
 
-void ServedCalls::Fill(Millis now) {
+void ServedCalls::FillSlots(Millis now) {
   const std::uint32_t slots = control::UsableSlots(this->ledger);
   while (!this->queue.empty() && this->running < slots) {
     const CallPointer call = this->queue.begin()->second;
@@ -125,11 +130,11 @@
       this->Reject(call, CallReason::kDraining);
       continue;
     }
-    if (this->is_gone) {
+    if (this->is_target_gone) {
       this->Reject(call, CallReason::kNoInstance);
       continue;
     }
-    if (call->info.deadline <= now + kLeastLeft) {
+    if (call->info.deadline <= now + kMinRemaining) {
       this->Reject(call, CallReason::kDeadline);
       continue;
     }
@@ -166,16 +171,16 @@
       return;
     }
     if (was_sent && reason == CallReason::kClosed) {
-      this->Break(open);
+      this->OnConnectionLost(open);
       return;
     }
-    if (reason == CallReason::kConnectFailed && !this->is_gone) {
-      this->FindOut();
+    if (reason == CallReason::kConnectFailed && !this->is_target_gone) {
+      this->StartCrashCheck();
     }
     this->EndRun(open);
     this->SendOutcome(
         open, was_sent ? CallOutcome::kBroken : CallOutcome::kNotSent, reason);
-    this->Fill(BootTimeNow());
+    this->FillSlots(BootTimeNow());
   };
   call->exchange =
       this->pool.Send(now, std::move(request), std::move(target_events));
@@ -187,7 +192,7 @@
   request.id = call.request_id;
   request.is_head_method = call.method == "HEAD";
   request.is_repeatable = call.is_repeatable;
-  request.bytes = std::move(call.start);
+  request.bytes = std::move(call.request_head);
   std::string& bytes = request.bytes;
   const auto put = [&bytes](const std::string& name, const std::string& value) {
     bytes.append(name).append(": ").append(value).append("\r\n");
@@ -226,26 +231,26 @@
   } else {
     ++this->counters.answered;
     const bool is_error =
-        head.status >= kServerError && head.status != kDeadlinePassed;
+        head.status >= kServerError && head.status != kGatewayTimeout;
     control::NoteAnswer(BootTimeNow(), is_error, this->errors);
     if (!is_error) {
       // How quickly a target fails says nothing of its work.
-      this->Sample(*call, work);
+      this->RecordWorkTime(*call, work);
     }
-    answer.ran = call->ran;
+    answer.run_counts = call->run_counts;
     control::AddRuns({ServiceKeyOf(this->ledger.current.service), 1},
-                     answer.ran);
+                     answer.run_counts);
   }
   call->is_answering = has_more;
   if (!has_more) {
     this->EndRun(call);
   }
   if (!call->is_abandoned) {
-    this->TellLoad(answer);
+    this->SetLoad(answer);
     this->events.on_answer(call->link, answer);
   }
   if (!has_more) {
-    this->Fill(BootTimeNow());
+    this->FillSlots(BootTimeNow());
   }
 }
 
@@ -254,7 +259,7 @@
                          bool is_last,
                          bool is_broken) {
   if (is_broken) {
-    this->Break(call);
+    this->OnConnectionLost(call);
     return;
   }
   DataFrame frame;
@@ -268,7 +273,7 @@
     this->events.on_part(call->link, frame);
   }
   if (is_last) {
-    this->Fill(BootTimeNow());
+    this->FillSlots(BootTimeNow());
   }
 }
 
@@ -292,10 +297,10 @@
 }
 
 /// How the target is, with each answer.
-void ServedCalls::TellLoad(AnswerFrame& answer) const {
+void ServedCalls::SetLoad(AnswerFrame& answer) const {
   answer.running = this->Running();
   answer.waiting = this->Waiting();
-  answer.erring = this->Erring();
+  answer.error_rate = this->ErrorRate();
 }
 
 void ServedCalls::SendOutcome(const CallPointer& call,
@@ -305,14 +310,14 @@
   ++(was_sent ? this->counters.broken : this->counters.not_sent);
   this->events.on_failed(call->request_id, reason, was_sent,
                          BootTimeNow() - call->arrived);
-  if (call->is_abandoned && reason != CallReason::kTargetEnded) {
+  if (call->is_abandoned && reason != CallReason::kTargetCrashed) {
     return;
   }
   AnswerFrame answer;
   answer.id = call->id;
   answer.outcome = outcome;
   answer.reason = reason;
-  this->TellLoad(answer);
+  this->SetLoad(answer);
   this->events.on_answer(call->link, answer);
 }
 
@@ -329,17 +334,17 @@
     return;
   }
   if (call->is_running) {
-    this->NoteLeft(BootTimeNow(), call);
+    this->RecordCancelled(BootTimeNow(), call);
   }
   TargetPool::Cancel(call->exchange);
   this->EndRun(call);
-  this->Fill(BootTimeNow());
+  this->FillSlots(BootTimeNow());
 }
 
 void ServedCalls::OnWindow(LinkId link, std::uint32_t id, std::uint32_t bytes) {
   const auto found = this->calls.find(CallKey{link, id});
   if (found != this->calls.end()) {
-    TargetPool::Taken(found->second->exchange, bytes);
+    TargetPool::OnConsumed(found->second->exchange, bytes);
   }
 }
 
@@ -360,17 +365,17 @@
   const control::ReportEffect effect =
       control::TakeReport(BootTimeNow(), report, this->ledger);
   const control::InstanceStart& current = this->ledger.current.start;
-  const bool is_back = this->is_gone &&
+  const bool is_back = this->is_target_gone &&
                        effect != control::ReportEffect::kIgnored &&
                        effect != control::ReportEffect::kRefused;
-  this->is_gone = this->is_gone && !is_back;
+  this->is_target_gone = this->is_target_gone && !is_back;
   if (before != current) {
     // Connections to the one before must not carry requests for this one.
     this->pool.CloseIdle();
     control::ForgetWork(this->meter);
     this->errors = control::ErrorShare();
     if (before.id == current.id) {
-      this->EndRunsOfEarlierStart();
+      this->EndRunsOfPreviousIncarnation();
     }
   }
   return is_back ? control::ReportEffect::kChanged : effect;
@@ -381,42 +386,42 @@
   return control::TakeLeave(BootTimeNow(), start, this->ledger);
 }
 
-control::ReportEffect ServedCalls::Remember(
+control::ReportEffect ServedCalls::RestoreDraining(
     const control::InstanceStart& start) {
   return control::RememberLeft(BootTimeNow(), start, this->ledger);
 }
 
 /// Takes the time of a call, unless this host stood still while it ran.
-void ServedCalls::Sample(const Call& call, LatencyMs work) {
+void ServedCalls::RecordWorkTime(const Call& call, LatencyMs work) {
   if (!call.spans_suspension) {
     control::NoteWork(call.info.root_route, BootTimeNow(), work, this->meter);
   }
 }
 
 double ServedCalls::CallsPerRun() const {
-  constexpr double kLeastRuns = 0.5;
-  return this->started_runs.per_s < kLeastRuns
+  constexpr double kMinRunsPerSecond = 0.5;
+  return this->started_runs.per_s < kMinRunsPerSecond
              ? 0
              : this->calls_of_runs.per_s / this->started_runs.per_s;
 }
 
-void ServedCalls::AddToRun(const std::string& request_id,
-                           const control::CallCounts& ran) {
+void ServedCalls::AddRunCounts(const std::string& request_id,
+                               const control::CallCounts& ran) {
   const auto found = this->runs.find(request_id);
   if (found != this->runs.end()) {
-    control::AddCounts(ran, found->second->ran);
+    control::AddCounts(ran, found->second->run_counts);
   }
 }
 
-std::uint32_t ServedCalls::RanForRun(const std::string& request_id,
-                                     const std::string& service) const {
+std::uint32_t ServedCalls::CountRunsAt(const std::string& request_id,
+                                       const std::string& service) const {
   const auto found = this->runs.find(request_id);
-  return found == this->runs.end()
-             ? 0
-             : control::RunsAt(ServiceKeyOf(service), found->second->ran);
+  return found == this->runs.end() ? 0
+                                   : control::RunsAt(ServiceKeyOf(service),
+                                                     found->second->run_counts);
 }
 
-double ServedCalls::Erring() const {
+double ServedCalls::ErrorRate() const {
   return control::ErrorsNow(BootTimeNow(), this->errors);
 }
 
@@ -430,7 +435,7 @@
 }
 
 void ServedCalls::Sweep(Millis now) {
-  if (now - this->last_sweep > kSuspended) {
+  if (now - this->last_sweep > kSuspensionGap) {
     for (const auto& [id, call] : this->runs) {
       call->spans_suspension = true;
     }
@@ -443,7 +448,7 @@
     }
   }
   for (const CallPointer& call : late) {
-    const bool is_deadline = call->info.deadline <= now + kLeastLeft;
+    const bool is_deadline = call->info.deadline <= now + kMinRemaining;
     this->Reject(call, this->IsPastDrain(now) ? CallReason::kDraining
                        : is_deadline          ? CallReason::kDeadline
                                               : CallReason::kFull);
@@ -456,13 +461,13 @@
   }
   for (const CallPointer& call : late) {
     const LatencyMs work{PreciseNow().count - call->dispatched.count};
-    this->Sample(*call, work);
+    this->RecordWorkTime(*call, work);
     TargetPool::Cancel(call->exchange);
     this->EndRun(call);
     this->SendOutcome(call, CallOutcome::kBroken, CallReason::kTimeout);
   }
   this->pool.Sweep(now);
-  this->Fill(now);
+  this->FillSlots(now);
   if (now - this->meter.window_start >= Millis{100}) {
     const double span =
         static_cast<double>((now - this->meter.window_start).count);
--- a/libs/relay/src/target_connection.cc
+++ b/libs/relay/src/target_connection.cc
@@ -14,15 +14,15 @@
 
 /// Answers up to this size are handed on whole, so that one that is cut short
 /// can be asked for again before its caller has seen any of it.
-constexpr std::size_t kWholeAnswer = 256 * 1024;
+constexpr std::size_t kMaxBufferedAnswer = 256 * 1024;
 /// Bytes of a long answer on their way to the caller; above it reading stops.
 constexpr std::size_t kStreamWindow = 256 * 1024;
 constexpr Millis kConnectTimeout{1000};
 /// A connection to the same host that acknowledges nothing for so long is gone.
-constexpr Millis kSilence{1000};
+constexpr Millis kAckTimeout{1000};
 /// Idle time if the target states none, and the part of a stated one that is
 /// used: the target must not close while a request is on its way.
-constexpr Millis kIdleDefault{3000};
+constexpr Millis kDefaultIdleTime{3000};
 constexpr std::int64_t kIdleMargin = 1500;
 constexpr std::int64_t kMillisPerSecond = 1000;
 constexpr std::uint32_t kFirstSuccess = 200;
@@ -55,7 +55,7 @@
       self->Fail(CallReason::kConnectFailed);
       return;
     }
-    PrepareSocket(self->socket, kSilence);
+    ConfigureSocket(self->socket, kAckTimeout);
     self->Use(std::move(self->request), std::move(self->events));
   });
 }
@@ -65,9 +65,9 @@
   this->events = std::move(events_in);
   this->is_busy = true;
   this->written = 0;
-  this->untaken = 0;
+  this->unconsumed = 0;
   this->is_streaming = false;
-  this->has_skipped = false;
+  this->has_skipped_answer = false;
   this->parser.emplace(this->names);
   this->parser->skip(this->request.is_head_method);
   this->Write();
@@ -114,8 +114,9 @@
 }
 
 void TargetConnection::Read() {
-  const bool is_held = this->is_streaming && this->untaken >= kStreamWindow;
-  if (this->is_reading || is_held || !this->socket.is_open()) {
+  const bool is_paused =
+      this->is_streaming && this->unconsumed >= kStreamWindow;
+  if (this->is_reading || is_paused || !this->socket.is_open()) {
     return;
   }
   this->is_reading = true;
@@ -162,17 +163,18 @@
     const bool is_complete = step == ParseStep::kDone;
     const bool is_interim =
         is_complete && this->parser->head.status < kFirstSuccess;
-    const bool is_strange = is_complete && !is_interim && !this->is_streaming &&
-                            !this->IsOfThisRequest();
+    const bool is_mismatched = is_complete && !is_interim &&
+                               !this->is_streaming && !this->IsOfThisRequest();
     const std::string& id = this->parser->head.id;
-    const bool is_other = is_strange && !id.empty() && id != this->request.id;
-    if (is_interim || is_strange) {
-      if (is_strange && (!is_other || this->has_skipped)) {
+    const bool has_other_id =
+        is_mismatched && !id.empty() && id != this->request.id;
+    if (is_interim || is_mismatched) {
+      if (is_mismatched && (!has_other_id || this->has_skipped_answer)) {
         this->Fail(CallReason::kBadAnswer);
         return;
       }
       // An answer of an earlier request may come late; ours can follow it.
-      this->has_skipped = this->has_skipped || is_other;
+      this->has_skipped_answer = this->has_skipped_answer || has_other_id;
       this->parser.emplace(this->names);
       this->parser->skip(this->request.is_head_method);
       if (this->input.empty()) {
@@ -186,7 +188,7 @@
       return;
     }
     const bool is_long = this->parser->is_header_done() &&
-                         this->parser->body.size() > kWholeAnswer;
+                         this->parser->body.size() > kMaxBufferedAnswer;
     if (this->is_streaming || (is_long && this->IsOfThisRequest())) {
       this->Deliver(false);
     }
@@ -213,7 +215,7 @@
   std::string body = std::move(this->parser->body);
   this->parser->body.clear();
   if (this->is_streaming) {
-    this->untaken += body.size();
+    this->unconsumed += body.size();
     const auto on_part = this->events.on_part;
     if (is_complete) {
       this->Complete();
@@ -229,7 +231,7 @@
     this->Complete();
   } else {
     this->is_streaming = true;
-    this->untaken += body.size();
+    this->unconsumed += body.size();
   }
   on_answer(head, std::move(body), !is_complete);
 }
@@ -239,7 +241,7 @@
   // answer to the next request, which would be called not run though it ran.
   const bool has_id = this->parser->head.id == this->request.id;
   const bool is_usable = has_id && this->parser->head.is_keep_alive &&
-                         !this->has_skipped && this->input.empty() &&
+                         !this->has_skipped_answer && this->input.empty() &&
                          this->written == this->request.bytes.size() &&
                          this->socket.is_open();
   if (!is_usable) {
@@ -264,7 +266,7 @@
   this->request = {};
   this->idle_since = BootTimeNow();
   this->idle_until =
-      this->idle_since + (stated > 0 ? Millis{stated} : kIdleDefault);
+      this->idle_since + (stated > 0 ? Millis{stated} : kDefaultIdleTime);
   shared->idle.push_back(this->shared_from_this());
   this->Read();
 }
@@ -282,8 +284,8 @@
   }
 }
 
-void TargetConnection::Taken(std::size_t bytes) {
-  this->untaken -= std::min(bytes, this->untaken);
+void TargetConnection::OnConsumed(std::size_t bytes) {
+  this->unconsumed -= std::min(bytes, this->unconsumed);
   if (this->is_busy && this->is_streaming) {
     this->Read();
   }
--- a/libs/relay/src/target_connection.h
+++ b/libs/relay/src/target_connection.h
@@ -27,7 +27,7 @@
   void Use(TargetRequest request, TargetEvents events);
   /// Closes; no event follows.
   void Close();
-  void Taken(std::size_t bytes);
+  void OnConsumed(std::size_t bytes);
   /// Ends a connect that takes too long.
   void CheckConnect(Millis now);
 
@@ -57,12 +57,12 @@
   TargetEvents events;
   std::size_t written = 0;
   /// Bytes of a long answer that were handed on and not taken yet.
-  std::size_t untaken = 0;
+  std::size_t unconsumed = 0;
   bool is_busy = false;
   bool is_connecting = false;
   bool is_reading = false;
   bool is_streaming = false;
-  bool has_skipped = false;
+  bool has_skipped_answer = false;
   Millis opened;
   Millis idle_since;
   Millis idle_until;
--- a/libs/relay/src/target_pool.cc
+++ b/libs/relay/src/target_pool.cc
@@ -12,7 +12,7 @@
 
 /// A request that may run once goes only to a connection that was in use this
 /// shortly before: an older one may be closed by the target at this moment.
-constexpr Millis kFreshIdle{1000};
+constexpr Millis kMaxIdleSingleUse{1000};
 
 }  // namespace
 
@@ -37,9 +37,9 @@
   while (!idle.empty()) {
     std::shared_ptr<TargetConnection> last = idle.back();
     const bool is_stale = !last->IsOpen() || now >= last->IdleUntil();
-    const bool is_too_old =
-        !request.is_repeatable && now - last->IdleSince() > kFreshIdle;
-    if (is_too_old && !is_stale) {
+    const bool is_idle_too_long =
+        !request.is_repeatable && now - last->IdleSince() > kMaxIdleSingleUse;
+    if (is_idle_too_long && !is_stale) {
       break;
     }
     idle.pop_back();
@@ -64,9 +64,9 @@
   }
 }
 
-void TargetPool::Taken(const TargetExchange& exchange, std::size_t bytes) {
+void TargetPool::OnConsumed(const TargetExchange& exchange, std::size_t bytes) {
   if (exchange != nullptr) {
-    exchange->Taken(bytes);
+    exchange->OnConsumed(bytes);
   }
 }
 
@@ -98,12 +98,13 @@
   this->state->idle.clear();
 }
 
-void TargetPool::WhenGone(std::function<void(bool is_gone)> done) const {
+void TargetPool::CheckProcessGone(
+    std::function<void(bool is_gone)> done) const {
   const std::weak_ptr<State> weak = this->state;
   ProbeTarget(this->state->loop, this->state->address,
-              [weak, done = std::move(done)](TargetPresence presence) {
+              [weak, done = std::move(done)](TargetProbeResult presence) {
                 if (!weak.expired()) {
-                  done(presence == TargetPresence::kGone);
+                  done(presence == TargetProbeResult::kNotListening);
                 }
               });
 }
@@ -116,7 +117,7 @@
                      });
 }
 
-std::uint64_t TargetPool::Connects() const {
+std::uint64_t TargetPool::ConnectCount() const {
   return this->state->connects;
 }
 
--- a/libs/relay/src/target_probe.cc
+++ b/libs/relay/src/target_probe.cc
@@ -11,44 +11,44 @@
 
 /// All connections of a process that ended close at once; after this the loop
 /// has seen all of them.
-constexpr std::chrono::milliseconds kBeforeProbe{2};
+constexpr std::chrono::milliseconds kProbeDelay{2};
 /// On one host a connect is answered within a millisecond; this is for a host
 /// that is slow. Requests whose connection closed wait for it.
-constexpr std::chrono::milliseconds kLongestProbe{100};
+constexpr std::chrono::milliseconds kProbeTimeout{100};
 
 struct Probe {
   explicit Probe(boost::asio::io_context& loop) : socket(loop), timer(loop) {}
   boost::asio::ip::tcp::socket socket;
   boost::asio::steady_timer timer;
-  std::function<void(TargetPresence)> done;
+  std::function<void(TargetProbeResult)> done;
 };
 
-void Conclude(Probe& probe, TargetPresence presence) {
+void Finish(Probe& probe, TargetProbeResult result) {
   if (!probe.done) {
     return;
   }
-  const std::function<void(TargetPresence)> done =
+  const std::function<void(TargetProbeResult)> done =
       std::exchange(probe.done, nullptr);
   probe.timer.cancel();
   boost::system::error_code ignored;
   probe.socket.close(ignored);
-  done(presence);
+  done(result);
 }
 
 void Connect(const std::shared_ptr<Probe>& probe,
              const boost::asio::ip::tcp::endpoint& address) {
-  probe->timer.expires_after(kLongestProbe);
+  probe->timer.expires_after(kProbeTimeout);
   probe->timer.async_wait([probe](boost::system::error_code error) {
     if (!error) {
-      Conclude(*probe, TargetPresence::kUnknown);
+      Finish(*probe, TargetProbeResult::kUnknown);
     }
   });
   probe->socket.async_connect(
       address, [probe](boost::system::error_code error) {
         const bool is_refused = error == boost::asio::error::connection_refused;
-        Conclude(*probe, !error       ? TargetPresence::kThere
-                         : is_refused ? TargetPresence::kGone
-                                      : TargetPresence::kUnknown);
+        Finish(*probe, !error       ? TargetProbeResult::kListening
+                       : is_refused ? TargetProbeResult::kNotListening
+                                    : TargetProbeResult::kUnknown);
       });
 }
 
@@ -56,10 +56,10 @@
 
 void ProbeTarget(boost::asio::io_context& loop,
                  const boost::asio::ip::tcp::endpoint& address,
-                 std::function<void(TargetPresence)> done) {
+                 std::function<void(TargetProbeResult)> done) {
   const std::shared_ptr<Probe> probe = std::make_shared<Probe>(loop);
   probe->done = std::move(done);
-  probe->timer.expires_after(kBeforeProbe);
+  probe->timer.expires_after(kProbeDelay);
   probe->timer.async_wait([probe, address](boost::system::error_code error) {
     if (!error) {
       Connect(probe, address);
