--- a/libs/relay/tests/peer_frames_test.cc
+++ b/libs/relay/tests/peer_frames_test.cc
@@ -17,7 +17,7 @@
 TEST_CASE("a call survives the way, whatever bytes it carries") {
   CallFrame call;
   call.id = 7;
-  call.left_ms = 900;
+  call.remaining_ms = 900;
   call.wait_ms = 300;
   call.is_repeat = true;
   call.root_route = 0xfedcba98;
@@ -33,7 +33,7 @@
   CallFrame read;
   REQUIRE(Decode(Only(bytes).payload, read));
   REQUIRE(read.id == 7);
-  REQUIRE(read.left_ms == 900);
+  REQUIRE(read.remaining_ms == 900);
   REQUIRE(read.wait_ms == 300);
   REQUIRE(read.is_repeat);
   REQUIRE_FALSE(read.is_repeatable);
@@ -52,8 +52,8 @@
   state.roots = {{5, 60, 40, {}}, {6, 1, 1, {}}};
   HelloFrame hello;
   hello.self = {"n1", "127.0.0.1:9", 12};
-  hello.others = {{"n2", "127.0.0.1:10", 13}};
-  hello.remembered = {{"n1", "i-3", 44, InstanceState::kDraining}};
+  hello.known_nodes = {{"n2", "127.0.0.1:10", 13}};
+  hello.draining_instances = {{"n1", "i-3", 44, InstanceState::kDraining}};
   std::string bytes;
   Append(state, bytes);
   StateFrame state_read;
@@ -66,8 +66,8 @@
   Append(hello, bytes);
   HelloFrame hello_read;
   REQUIRE(Decode(Only(bytes).payload, hello_read));
-  REQUIRE(hello_read.others[0].name == "n2");
-  REQUIRE(hello_read.remembered[0].sequence == 44);
+  REQUIRE(hello_read.known_nodes[0].name == "n2");
+  REQUIRE(hello_read.draining_instances[0].sequence == 44);
 }
 
 TEST_CASE("a load survives the way and changes nothing else of a state") {
@@ -93,13 +93,13 @@
   other.running = 0;
   other.demand.clear();
   other.roots.clear();
-  REQUIRE(HaveSameFacts(state, other));
+  REQUIRE(EqualExceptLoad(state, other));
   ApplyLoad(read, other);
   std::string again;
   Append(other, again);
   REQUIRE(again == whole);
   other.slots = 42;
-  REQUIRE_FALSE(HaveSameFacts(state, other));
+  REQUIRE_FALSE(EqualExceptLoad(state, other));
   const std::string_view payload = Only(bytes).payload;
   // Older nodes' loads end before the errors of the target, before the calls of
   // chains, and before the list of repeats; each is a byte here.
@@ -124,59 +124,59 @@
 TEST_CASE("a hello of an older node is understood") {
   HelloFrame hello;
   hello.self = {"n1", "127.0.0.1:9", 12};
-  hello.dialect = kOwnDialect;
-  hello.remembered = {{"n2", "i-1", 3, InstanceState::kDraining, 77}};
+  hello.protocol_version = kProtocolVersion;
+  hello.draining_instances = {{"n2", "i-1", 3, InstanceState::kDraining, 77}};
   hello.known_incarnation = 99;
   std::string bytes;
   Append(hello, bytes);
   HelloFrame read;
   REQUIRE(Decode(Only(bytes).payload, read));
-  REQUIRE(read.dialect == kOwnDialect);
+  REQUIRE(read.protocol_version == kProtocolVersion);
   REQUIRE(read.known_incarnation == 99);
-  REQUIRE(read.remembered[0].born == 77);
+  REQUIRE(read.draining_instances[0].started_at == 77);
   // One that knows no start times, and one that knows no dialect.
   std::string_view older = Only(bytes).payload;
   // The former start and its empty list come last.
-  older.remove_suffix(sizeof(hello.former_incarnation) + 1);
+  older.remove_suffix(sizeof(hello.previous_incarnation) + 1);
   REQUIRE(Decode(older, read));
   REQUIRE(read.known_incarnation == 99);
   older.remove_suffix(sizeof(hello.known_incarnation) + sizeof(std::uint64_t));
   REQUIRE(Decode(older, read));
-  REQUIRE(read.dialect == kOwnDialect);
+  REQUIRE(read.protocol_version == kProtocolVersion);
   REQUIRE(read.known_incarnation == 0);
-  REQUIRE(read.remembered[0].born == 0);
-  older.remove_suffix(sizeof(hello.dialect));
+  REQUIRE(read.draining_instances[0].started_at == 0);
+  older.remove_suffix(sizeof(hello.protocol_version));
   REQUIRE(Decode(older, read));
-  REQUIRE(read.dialect == 0);
+  REQUIRE(read.protocol_version == 0);
 }
 
 TEST_CASE("the start of an instance survives the way") {
   StateFrame state;
   state.instance = "i-1";
-  state.born = 1ULL << 41;
+  state.started_at = 1ULL << 41;
   std::string bytes;
   Append(state, bytes);
   StateFrame read;
   REQUIRE(Decode(Only(bytes).payload, read));
-  REQUIRE(read.born == 1ULL << 41);
-  REQUIRE(HaveSameFacts(state, read));
-  read.born = 5;
-  REQUIRE_FALSE(HaveSameFacts(state, read));
+  REQUIRE(read.started_at == 1ULL << 41);
+  REQUIRE(EqualExceptLoad(state, read));
+  read.started_at = 5;
+  REQUIRE_FALSE(EqualExceptLoad(state, read));
   std::string_view older = Only(bytes).payload;
   // Without the start, repeats, calls and errors (a byte each that says none)
   // and the source.
-  older.remove_suffix(sizeof(state.born) + 4);
+  older.remove_suffix(sizeof(state.started_at) + 4);
   REQUIRE(Decode(older, read));
-  REQUIRE(read.born == 0);
+  REQUIRE(read.started_at == 0);
   REQUIRE_FALSE(read.has_source);
   bytes.clear();
-  AppendSeen({7, 9}, bytes);
-  ReportNumber number;
-  REQUIRE(DecodeSeen(Only(bytes).payload, number));
-  REQUIRE(number.born == 7);
+  AppendStateConfirmed({7, 9}, bytes);
+  ReportId number;
+  REQUIRE(DecodeStateConfirmed(Only(bytes).payload, number));
+  REQUIRE(number.started_at == 7);
   REQUIRE(number.sequence == 9);
-  REQUIRE(DecodeSeen(Only(bytes).payload.substr(0, 8), number));
-  REQUIRE(number.born == 0);
+  REQUIRE(DecodeStateConfirmed(Only(bytes).payload.substr(0, 8), number));
+  REQUIRE(number.started_at == 0);
   REQUIRE(number.sequence == 9);
 }
 
@@ -184,23 +184,23 @@
   AnswerFrame answer;
   answer.id = 3;
   answer.body = "body";
-  control::AddRuns({77, 4}, answer.ran);
-  control::AddRuns({78, 1}, answer.ran);
+  control::AddRuns({77, 4}, answer.run_counts);
+  control::AddRuns({78, 1}, answer.run_counts);
   std::string bytes;
   Append(answer, bytes);
   AnswerFrame read;
   REQUIRE(Decode(Only(bytes).payload, read));
   REQUIRE(read.body == "body");
-  REQUIRE(read.ran.size == 2);
-  REQUIRE(read.ran.entries[0].service == 77);
-  REQUIRE(read.ran.entries[0].runs == 4);
+  REQUIRE(read.run_counts.size == 2);
+  REQUIRE(read.run_counts.entries[0].service == 77);
+  REQUIRE(read.run_counts.entries[0].runs == 4);
   // An older node tells none.
   bytes.clear();
-  answer.ran = control::CallCounts();
+  answer.run_counts = control::CallCounts();
   Append(answer, bytes);
   REQUIRE(Decode(Only(bytes).payload.substr(0, Only(bytes).payload.size() - 1),
                  read));
-  REQUIRE(read.ran.size == 0);
+  REQUIRE(read.run_counts.size == 0);
 }
 
 TEST_CASE("calls of chains are told and kept until they are told again") {
@@ -243,18 +243,18 @@
   REQUIRE(read.has_source);
   // Whether a node can read the source is a fact: others stand in for it.
   read.has_source = false;
-  REQUIRE_FALSE(HaveSameFactsButVersion(state, read));
+  REQUIRE_FALSE(EqualExceptLoadAndVersion(state, read));
   read = state;
   read.policy_version = 9;
-  REQUIRE(HaveSameFactsButVersion(state, read));
-  REQUIRE_FALSE(HaveSameFacts(state, read));
+  REQUIRE(EqualExceptLoadAndVersion(state, read));
+  REQUIRE_FALSE(EqualExceptLoad(state, read));
   bytes.clear();
-  AppendVersion(1ULL << 40, bytes);
+  AppendPolicyVersion(1ULL << 40, bytes);
   std::uint64_t version = 0;
-  REQUIRE(Only(bytes).type == FrameType::kVersion);
-  REQUIRE(DecodeVersion(Only(bytes).payload, version));
+  REQUIRE(Only(bytes).type == FrameType::kPolicyVersion);
+  REQUIRE(DecodePolicyVersion(Only(bytes).payload, version));
   REQUIRE(version == 1ULL << 40);
-  REQUIRE_FALSE(DecodeVersion(Only(bytes).payload.substr(1), version));
+  REQUIRE_FALSE(DecodePolicyVersion(Only(bytes).payload.substr(1), version));
   bytes.clear();
   AppendNodes({{"node-1", "10.0.0.1:7000", 3}, {"node-2", "10.0.0.2:7000", 4}},
               bytes);
@@ -300,15 +300,15 @@
   Append(state, bytes);
   std::string payload(Only(bytes).payload);
   // The count of the last list; the start of the instance follows it.
-  payload[payload.size() - sizeof(state.born) - 1 - 4] = '\x7f';
+  payload[payload.size() - sizeof(state.started_at) - 1 - 4] = '\x7f';
   StateFrame read;
   REQUIRE_FALSE(Decode(payload, read));
 }
 
 TEST_CASE("asks and loans of a quota, and a target's errors, survive the way") {
   std::string bytes;
-  Append(QuotaAskFrame{0xfedcba98, 300}, bytes);
-  QuotaAskFrame ask;
+  Append(QuotaRequestFrame{0xfedcba98, 300}, bytes);
+  QuotaRequestFrame ask;
   REQUIRE(Decode(Only(bytes).payload, ask));
   REQUIRE(ask.account == 0xfedcba98);
   REQUIRE(ask.wanted == 300);
@@ -331,12 +331,12 @@
     REQUIRE_FALSE(Decode(payload.substr(0, size), read));
   }
   AnswerFrame answer;
-  answer.erring = 0.25;
+  answer.error_rate = 0.25;
   bytes.clear();
   Append(answer, bytes);
   AnswerFrame answer_read;
   REQUIRE(Decode(Only(bytes).payload, answer_read));
-  REQUIRE(answer_read.erring == 0.25);
+  REQUIRE(answer_read.error_rate == 0.25);
 }
 
 }  // namespace
--- a/test/fuzz/decoders.cc
+++ b/test/fuzz/decoders.cc
@@ -104,12 +104,12 @@
     FrameTrip<relay::AnswerFrame>(frame->payload);
     FrameTrip<relay::DataFrame>(frame->payload);
     FrameTrip<relay::WindowFrame>(frame->payload);
-    FrameTrip<relay::QuotaAskFrame>(frame->payload);
+    FrameTrip<relay::QuotaRequestFrame>(frame->payload);
     FrameTrip<relay::QuotaLoanFrame>(frame->payload);
-    FrameTrip<relay::BlameFrame>(frame->payload);
-    FrameTrip<relay::TrialAskFrame>(frame->payload);
-    FrameTrip<relay::TrialAnswerFrame>(frame->payload);
-    FrameTrip<relay::TrialOverFrame>(frame->payload);
+    FrameTrip<relay::QuarantineFrame>(frame->payload);
+    FrameTrip<relay::TrialRequestFrame>(frame->payload);
+    FrameTrip<relay::TrialResponseFrame>(frame->payload);
+    FrameTrip<relay::TrialEndedFrame>(frame->payload);
     rest.remove_prefix(frame->size);
   }
 }
--- a/test/process/relay_frames_test.cc
+++ b/test/process/relay_frames_test.cc
@@ -102,7 +102,7 @@
     hello.self = {"far", "127.0.0.1:" + std::to_string(this->port), 1};
     hello.zone = "zone-a";
     hello.deployment = "test";
-    hello.dialect = relay::kOwnDialect;
+    hello.protocol_version = relay::kProtocolVersion;
     std::string bytes;
     Append(hello, bytes);
     return bytes;
@@ -166,9 +166,10 @@
   Alone alone(23900, "frames-accepted");
   for (const FrameType type :
        {FrameType::kHello, FrameType::kCall, FrameType::kCancel,
-        FrameType::kWindow, FrameType::kSeen, FrameType::kWantPolicy,
-        FrameType::kPolicy, FrameType::kQuotaAsk, FrameType::kBlame,
-        FrameType::kTrialAsk, FrameType::kTrialOver}) {
+        FrameType::kWindow, FrameType::kStateConfirmed,
+        FrameType::kPolicyRequest, FrameType::kPolicy, FrameType::kQuotaRequest,
+        FrameType::kQuarantine, FrameType::kTrialRequest,
+        FrameType::kTrialEnded}) {
     INFO("type " << static_cast<int>(type));
     const std::size_t before = alone.Refused();
     FakePeer peer(alone.cluster, 23929,
@@ -184,9 +185,9 @@
   Alone alone(23930, "frames-dialled");
   for (const FrameType type :
        {FrameType::kHello, FrameType::kState, FrameType::kLoad,
-        FrameType::kVersion, FrameType::kNodes, FrameType::kPolicy,
+        FrameType::kPolicyVersion, FrameType::kNodes, FrameType::kPolicy,
         FrameType::kAnswer, FrameType::kData, FrameType::kQuotaLoan,
-        FrameType::kTrialAnswer}) {
+        FrameType::kTrialResponse}) {
     INFO("type " << static_cast<int>(type));
     const std::size_t before = alone.Refused();
     std::atomic<int> links{0};
@@ -248,7 +249,7 @@
     bool is_bad = false;
     while (const std::optional<RawFrame> frame =
                relay::NextFrame(input, is_bad)) {
-      const bool is_question = frame->type == FrameType::kWantPolicy;
+      const bool is_question = frame->type == FrameType::kPolicyRequest;
       const bool is_ping = frame->type == FrameType::kPing;
       input.erase(0, frame->size);
       if (is_ping) {
--- a/test/process/relay_reborn_test.cc
+++ b/test/process/relay_reborn_test.cc
@@ -195,7 +195,7 @@
   hello.self = {"node-far", "127.0.0.1:9", 1};
   hello.zone = "zone-b";
   hello.deployment = "test";
-  hello.dialect = relay::kOwnDialect;
+  hello.protocol_version = relay::kProtocolVersion;
   hello.known_incarnation = met;
   std::string bytes;
   relay::Append(hello, bytes);
