--- a/libs/relay/include/almondlink/relay/peer_frames.h
+++ b/libs/relay/include/almondlink/relay/peer_frames.h
@@ -13,14 +13,14 @@
 #include "almondlink/control/quota_lending.h"
 #include "almondlink/control/repeat_allowance.h"
 
-/// Messages on a link between two nodes.
+/// Binary messages on a link between two nodes.
 ///
-/// A frame is its length (4 bytes), its type (1 byte) and its fields in order,
-/// numbers in big-endian, texts with their length before them. Calls and
-/// answers pass twice a request on every node; written straight into the link's
-/// buffer they cost a tenth of the generated CBOR trees (bench/frame_cost.cc).
-/// Fields are only added at the end, so an older node ignores what it does not
-/// know.
+/// A frame consists of its length (4 bytes), its type (1 byte) and its fields
+/// in order: numbers in big-endian, strings with a length prefix. Each request
+/// causes a call and an answer frame on every node it passes; written directly
+/// into the link's buffer they cost a tenth of the generated CBOR encoding
+/// (bench/frame_cost.cc). New fields are only appended, so that older nodes
+/// ignore them.
 namespace almondlink::relay {
 
 enum class FrameType : std::uint8_t {
@@ -33,93 +33,97 @@
   kWindow = 7,
   kCancel = 8,
   kStateConfirmed = 9,
-  /// Asks for a state at once.
+  /// Requests an immediate state or load frame.
   kPing = 10,
-  /// What changes all the time in a state, without the rest.
+  /// The frequently changing part of a state.
   kLoad = 11,
-  /// Asks for the policy if it is newer than the number told.
+  /// Requests the policy if it is newer than the given version.
   kPolicyRequest = 12,
-  /// Number of the policy in force; the rest of the state is as told.
+  /// Version of the policy in force; the rest of the state is unchanged.
   kPolicyVersion = 13,
   /// Addresses of nodes that the sender has just learned of.
   kNodes = 14,
-  /// Asks the lender of an account's quota for tokens, and its answer.
+  /// Requests quota tokens from the lender of an account, and its answer.
   kQuotaRequest = 15,
   kQuotaLoan = 16,
-  /// Requests that targets ended under, or lived through.
+  /// Records of requests that crashed targets, or that completed.
   kQuarantine = 17,
-  /// Asks for the trial of such a request, its answer, and the trial's end.
+  /// Requests a trial of such a request, the answer, and the trial's end.
   kTrialRequest = 18,
   kTrialResponse = 19,
   kTrialEnded = 20,
 };
 
-/// What a target tells of its life; later values are never taken back for the
-/// same instance.
+/// Reported lifecycle state of a target instance. An instance never returns to
+/// an earlier state.
 enum class InstanceState : std::uint8_t {
   kNone = 0,
   kReady = 1,
   kDraining = 2,
 };
 
-/// What one node knows of an instance: kept by its peers over its restarts.
+/// State of an instance as one node knows it; its peers keep it across restarts
+/// of the node.
 struct InstanceRecord {
   std::string node;
   std::string instance;
   std::uint64_t sequence = 0;
   InstanceState state = InstanceState::kNone;
-  /// Start time of the instance, see control/instance_ledger.h; 0 if not told.
+  /// Start time of the instance, see control/instance_ledger.h; 0 if not
+  /// reported.
   std::uint64_t started_at = 0;
 };
 
-/// How other nodes reach a node.
+/// Address and incarnation of a node.
 struct NodeAddress {
   std::string name;
   std::string address;
   std::uint64_t incarnation = 0;
 };
 
-/// What a node counted of a service's requests and repeats.
+/// A node's counts of a service's requests and repeats.
 struct ServiceRepeats {
-  /// See ServiceKeyOf.
+  /// Service, as returned by ServiceKeyOf().
   std::uint32_t service = 0;
   control::RepeatCounts counts;
 };
 
-/// Number of a service's name, the same on all nodes.
+/// Hash of a service's name, the same on all nodes.
 std::uint32_t ServiceKeyOf(std::string_view service);
 
-/// First frame of either side.
+/// The first frame that each side sends on a link.
 struct HelloFrame {
   NodeAddress self;
   std::string zone;
   std::string deployment;
-  /// Some of the other nodes that the sender knows.
+  /// A sample of the other nodes that the sender knows.
   std::vector<NodeAddress> known_nodes;
-  /// What the sender remembers of the receiver's instances.
+  /// The receiver's draining instances that the sender has recorded.
   std::vector<InstanceRecord> draining_instances;
-  /// What the sender understands: from kSpeaksLoad on, load frames; from
-  /// kAsksPolicy on it asks for a policy that it lacks, and is not sent any
-  /// otherwise.
+  /// Protocol version of the sender, see kProtocolVersion.
   std::uint32_t protocol_version = 0;
-  /// Number of the latest start of the receiver that the sender has met; 0 if
-  /// none. A node whose clock went back between two starts takes a later one.
+  /// Latest incarnation of the receiver that the sender knows; 0 if none. A
+  /// node whose clock went back between two starts raises its incarnation above
+  /// it.
   std::uint64_t known_incarnation = 0;
-  /// Number of the start before that, and what it told of repeats last; 0 if
-  /// the sender has not met it.
+  /// The incarnation before that and the repeat counts that it reported last; 0
+  /// if the sender does not know one.
   std::uint64_t previous_incarnation = 0;
   std::vector<ServiceRepeats> previous_repeats;
 };
 
-/// The dialects that know load frames, questions for a policy, loans of quotas
-/// and requests that end targets, and the one spoken here.
+/// Protocol versions by the feature that they introduced, and the version of
+/// this node: load frames; requests for a missing policy, which is no longer
+/// pushed to such nodes; loans of quota tokens; exchange of requests that crash
+/// targets.
 constexpr std::uint32_t kVersionLoadFrames = 1;
 constexpr std::uint32_t kVersionPolicyPull = 2;
 constexpr std::uint32_t kVersionQuotaLending = 3;
 constexpr std::uint32_t kVersionQuarantine = 4;
 constexpr std::uint32_t kProtocolVersion = kVersionQuarantine;
 
-/// State of a node and of the target beside it.
+/// State of a node and of the target beside it, as it is reported to other
+/// nodes.
 struct StateFrame {
   std::uint64_t policy_version = 0;
   bool is_stopping = false;
@@ -132,29 +136,31 @@
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   double work_ms = 0;
-  /// Calls that a run of the target makes, on average.
+  /// Mean number of calls that a run of the target makes.
   double calls_per_run = 0;
   std::vector<control::RouteDemand> demand;
   std::vector<control::RootRate> roots;
-  /// Start time of the instance; 0 if not told.
+  /// Start time of the instance; 0 if not reported.
   std::uint64_t started_at = 0;
-  /// Of services whose requests were sent once more within the window.
+  /// Counts of the services whose requests were repeated within the time
+  /// window.
   std::vector<ServiceRepeats> repeats;
-  /// The sender can read the source of the policy, as far as it knows.
+  /// The sender can read the policy source, as far as it knows.
   bool has_source = false;
-  /// Part of the target's answers that are failures of its own.
+  /// Share of the target's answers that are its own failures, 0 to 1.
   double error_rate = 0;
 };
 
-/// Which report of which start of an instance a state was made after.
+/// Identifies a report of an instance: its start time and the report's sequence
+/// number.
 struct ReportId {
   std::uint64_t started_at = 0;
   std::uint64_t sequence = 0;
 };
 
-/// The part of a state that changes with each call. A state of 250 bytes, told
-/// several times a second on every link, was most of what nodes say to each
-/// other; this is a third of it.
+/// The part of a state that changes with each call. A state takes about 250
+/// bytes, and sending it several times a second on every link was most of the
+/// traffic between nodes; a load takes a third of that.
 struct LoadFrame {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
@@ -166,27 +172,29 @@
   double error_rate = 0;
 };
 
-/// The load that a state tells, and a state with another load.
+/// Extracts the load of a state.
 LoadFrame LoadOf(const StateFrame& state);
-/// A load without the calls of chains leaves those that were told before.
+/// Replaces the load of a state. A load without call chains keeps those of the
+/// state.
 void ApplyLoad(LoadFrame load, StateFrame& state);
 
-/// Whether two states differ in their load at most, and in the number of the
-/// last report, which matters only for an instance that leaves.
+/// Whether two states are equal except for their load and the number of the
+/// last report, which matters only for a draining instance.
 bool EqualExceptLoad(const StateFrame& a, const StateFrame& b);
-/// The same but for the number of the policy.
+/// The same, ignoring the policy version too.
 bool EqualExceptLoadAndVersion(const StateFrame& a, const StateFrame& b);
 
-/// One attempt of a request, to the node beside its target.
+/// One attempt of a request, sent to the node beside its target.
 struct CallFrame {
   std::uint32_t id = 0;
-  /// The sender's clock, to tell a frame that was held up on the way.
+  /// The sender's clock at sending, to detect that the frame was delayed.
   std::uint64_t sent_ms = 0;
   std::uint32_t remaining_ms = 0;
-  /// Longest time that it may wait for a slot.
+  /// Maximum time that it may be queued for a slot.
   std::uint32_t wait_ms = 0;
   bool is_repeatable = false;
-  /// The request, or the run that made it, was sent to a target before.
+  /// This request, or the run that made it, is a repeat: it was sent to a
+  /// target before.
   bool is_repeat = false;
   std::uint8_t depth = 0;
   std::uint8_t priority = 0;
@@ -199,23 +207,24 @@
   std::string_view target;
   std::string_view fields;
   std::string_view body;
-  /// Of the id of the root request; 0 from a node that does not tell it.
+  /// Hash of the root request's id; 0 if the sender does not report it.
   std::uint64_t root_hash = 0;
 };
 
-/// How an attempt ended at the target's node.
+/// Outcome of an attempt at the target's node.
 enum class CallOutcome : std::uint8_t {
-  /// The target's own answer follows.
+  /// The frame carries the target's own answer.
   kAnswered = 0,
-  /// Not run: no byte of it reached the target.
+  /// Not run: no byte of it was sent to the target.
   kNotSent = 1,
-  /// Not run: the target itself said so.
+  /// Not run: the target refused it.
   kRefusedByTarget = 2,
-  /// It was sent and there is no proper answer.
+  /// It was sent, and no valid answer was received.
   kBroken = 3,
 };
 
-/// Why a call was not sent or broke; numbers are stable, they are in logs.
+/// Why a call was not sent or failed. The numbers are stable because they
+/// appear in logs.
 enum class CallReason : std::uint8_t {
   kNone = 0,
   kDraining = 1,
@@ -229,16 +238,16 @@
   kTimeout = 9,
   kLinkLost = 10,
   kLinkBusy = 11,
-  /// The target's process ended while it ran the call.
+  /// The target's process crashed while the call was running.
   kTargetCrashed = 12,
-  /// Targets have ended under the same request.
+  /// The request is quarantined because targets crashed while running it.
   kQuarantined = 13,
 };
 
-/// Name of a reason in logs and metrics.
+/// Name of a reason in logs and metrics; "unknown" for unknown values.
 const char* ToString(CallReason reason);
 
-/// First part of an answer, or all of it.
+/// An answer, or the first part of a long one.
 struct AnswerFrame {
   std::uint32_t id = 0;
   CallOutcome outcome = CallOutcome::kAnswered;
@@ -252,53 +261,55 @@
   std::string_view status_text;
   std::string_view fields;
   std::string_view body;
-  /// What ran for it, here and further down; none from an older node.
+  /// Runs that the call caused, here and at services further down the chain;
+  /// empty from an older node.
   control::CallCounts run_counts;
-  /// See StateFrame; 0 from an older node.
+  /// See StateFrame::error_rate; 0 from an older node.
   double error_rate = 0;
 };
 
-/// A further part of an answer's body.
+/// A further part of a long answer's body.
 struct DataFrame {
   std::uint32_t id = 0;
-  /// The last part; with `is_broken` the answer ended before its end.
+  /// The last part; with `is_broken` the answer is incomplete.
   bool is_last = false;
   bool is_broken = false;
-  /// It broke because the target's process ended.
+  /// The answer is incomplete because the target's process crashed.
   bool is_target_crashed = false;
   std::string_view body;
 };
 
-/// The receiver passed on that many bytes of the answer.
+/// Flow control: the receiver has passed on that many bytes of the answer.
 struct WindowFrame {
   std::uint32_t id = 0;
   std::uint32_t bytes = 0;
 };
 
-/// Asks for tokens of an account's quota.
+/// Requests tokens of an account's quota.
 struct QuotaRequestFrame {
-  /// See policy::AccountKeyOf.
+  /// Account, as returned by policy::AccountKeyOf().
   std::uint32_t account = 0;
   std::uint32_t wanted = 0;
 };
 
-/// What the lender of the quota answers.
+/// Answer of the node that tokens were requested from.
 struct QuotaLoanFrame {
   std::uint32_t account = 0;
-  /// False: the node asked does not take itself for the lender, or does not
-  /// know the account.
+  /// False if that node is not the lender as far as it knows, or does not know
+  /// the account.
   bool is_lender = false;
   control::QuotaLoan loan;
 };
 
-/// What the sender knows of a request that targets ended under.
+/// The sender's record of a request that crashed targets.
 struct QuarantineUpdate {
   control::RequestDigest digest;
-  /// A target lived through a run of it: nothing holds it any more.
+  /// A run of the request completed, which lifts its quarantine. The other
+  /// fields are not used then.
   bool is_completed = false;
   std::vector<std::uint64_t> crashed_incarnations;
   std::uint32_t failed_trials = 0;
-  /// Time since the last end.
+  /// Time since the last crash.
   Millis age;
 };
 
@@ -306,38 +317,39 @@
   std::vector<QuarantineUpdate> updates;
 };
 
-/// Asks the node that permits the trials of a service for one.
+/// Requests a trial from the node that coordinates the service's trials.
 struct TrialRequestFrame {
   control::RequestDigest digest;
   std::string service;
-  /// Nobody waits for it any longer than this.
+  /// Time that the caller still waits.
   std::uint32_t remaining_ms = 0;
 };
 
-/// The trial may begin at the target beside `node`; it must wait if empty.
+/// The trial may begin at the target beside `node`; if empty, it must wait.
 struct TrialResponseFrame {
   control::RequestDigest digest;
   std::string node;
 };
 
-/// The trial that was permitted is over, or did not begin.
+/// The granted trial has ended, or did not begin.
 struct TrialEndedFrame {
   control::RequestDigest digest;
 };
 
-/// One frame as it lies in a link's input.
+/// A complete frame within a link's input.
 struct RawFrame {
   FrameType type = FrameType::kHello;
   std::string_view payload;
-  /// Bytes of the frame with its head.
+  /// Size of the frame in bytes, including its header.
   std::size_t size = 0;
 };
 
-/// Largest frame; a longer one means that the peer speaks something else.
+/// Maximum frame size. A larger length means that the peer does not speak this
+/// protocol.
 constexpr std::size_t kMaxFrameSize = 80 * 1024 * 1024;
 
-/// The first frame of `input`: none while it is incomplete. `is_bad` is set if
-/// it cannot be one.
+/// The first frame of `input`, or none while it is incomplete. Sets `is_bad` if
+/// the input cannot be a frame.
 std::optional<RawFrame> NextFrame(std::string_view input, bool& is_bad);
 
 void Append(const HelloFrame& frame, std::string& out);
@@ -356,13 +368,14 @@
 void AppendPolicy(std::string_view policy, std::string& out);
 void AppendCancel(std::uint32_t id, std::string& out);
 void AppendPing(std::string& out);
-/// The receiver keeps the state made after that report in mind.
+/// Confirms that the sender has recorded the state that includes that report.
 void AppendStateConfirmed(const ReportId& report, std::string& out);
 void AppendPolicyRequest(std::uint64_t own_version, std::string& out);
 void AppendPolicyVersion(std::uint64_t version, std::string& out);
 void AppendNodes(const std::vector<NodeAddress>& nodes, std::string& out);
 
-/// Decoders; false if the payload is too short. Views point into the payload.
+/// Decoders. They return false if the payload is malformed or too short. String
+/// views point into the payload.
 bool Decode(std::string_view payload, HelloFrame& frame);
 bool Decode(std::string_view payload, StateFrame& frame);
 bool Decode(std::string_view payload, LoadFrame& frame);
@@ -378,7 +391,7 @@
 bool Decode(std::string_view payload, TrialEndedFrame& frame);
 bool DecodeCancel(std::string_view payload, std::uint32_t& id);
 bool DecodeStateConfirmed(std::string_view payload, ReportId& report);
-/// Of both frames that hold the number of a policy.
+/// Decodes both kPolicyRequest and kPolicyVersion frames.
 bool DecodePolicyVersion(std::string_view payload, std::uint64_t& version);
 bool DecodeNodes(std::string_view payload, std::vector<NodeAddress>& nodes);
 
--- a/libs/relay/include/almondlink/relay/peer_link.h
+++ b/libs/relay/include/almondlink/relay/peer_link.h
@@ -13,8 +13,9 @@
 
 /// A TCP connection to another node.
 ///
-/// Frames that are written within one turn of the loop leave with one system
-/// call. A link that does not drain is closed when too much waits on it.
+/// Frames that are appended within one turn of the event loop are sent with one
+/// system call. A link is closed when the peer reads too slowly and too much
+/// output is pending.
 namespace almondlink::relay {
 
 class PeerLink;
@@ -22,7 +23,7 @@
 
 struct LinkEvents {
   std::function<void(const PeerLinkPointer&, const RawFrame&)> on_frame;
-  /// Called once, from the loop; never after Close().
+  /// Called at most once, from the event loop; never after Close().
   std::function<void(const PeerLinkPointer&)> on_closed;
 };
 
@@ -33,19 +34,20 @@
            std::uint64_t id,
            LinkEvents events);
 
-  /// Starts to read. Precondition: the socket is connected.
+  /// Starts reading. Precondition: the socket is connected.
   void Start();
 
-  /// Buffer to append frames to; call FlushSoon() after.
+  /// Output buffer to append frames to; call ScheduleFlush() afterwards.
   std::string& OutputBuffer() { return this->output; }
   void ScheduleFlush();
 
-  /// Calls `task` once, from the loop, when all that was appended until now has
-  /// left this host, or the link is closed. One at a time.
+  /// Calls `task` once, from the event loop, when everything appended so far
+  /// has been passed to the kernel or the link is closed. Only one task may be
+  /// pending.
   void WhenDrained(std::function<void()> task);
   bool IsDraining() const { return this->on_drained != nullptr; }
 
-  /// Closes without an event.
+  /// Closes the link without calling `on_closed`.
   void Close();
 
   bool IsOpen() const { return this->socket.is_open(); }
@@ -56,8 +58,8 @@
  private:
   void Read();
   void OnRead(std::string_view bytes);
-  /// Hands on all whole frames of `bytes`; what they took. False in `is_good`
-  /// if it is no frame.
+  /// Passes all complete frames in `bytes` to `on_frame`. Returns the number of
+  /// bytes consumed; sets `is_good` to false if the rest cannot be a frame.
   std::size_t DispatchFrames(std::string_view bytes, bool& is_good);
   void Flush();
   void Fail();
@@ -66,7 +68,7 @@
   boost::asio::ip::tcp::socket socket;
   const std::uint64_t id;
   LinkEvents events;
-  /// The beginning of a frame whose rest has not come.
+  /// An incomplete frame at the end of the bytes received.
   std::string input;
   std::string output;
   std::size_t written = 0;
--- a/libs/relay/include/almondlink/relay/peer_table.h
+++ b/libs/relay/include/almondlink/relay/peer_table.h
@@ -23,56 +23,65 @@
 #include "almondlink/relay/relay_settings.h"
 #include "almondlink/relay/served_calls.h"
 
-/// The other nodes: who they are, the links to them, and what they told.
+/// The other nodes of the deployment: their addresses, the links to them and
+/// the state that they report.
 ///
-/// Every node dials every other one and sends its calls on the link it dialled.
-/// On a link that it accepted a node tells its state: at once when something
-/// changed that callers must know, and otherwise its load only, a few times a
-/// second while it works and once a second when not, so that a silent link is
-/// noticed. Addresses come from outside (a directory), from peers that dial,
-/// and from their lists.
+/// Every node dials every other node and sends its calls on the link that it
+/// dialled. On a link that it accepted, a node reports its own state: at once
+/// after a change that callers must know of, otherwise only its load, a few
+/// times a second while its target works and once a second while it is idle, so
+/// that a silent link is noticed. Addresses come from outside (a directory),
+/// from nodes that dial this one and from the lists that nodes send each other.
 namespace almondlink::relay {
 
-/// One node, this one included.
+/// What is known of one node. This node has an entry too.
 struct Peer {
   NodeAddress node;
-  /// The start before, and what it told of repeats last; 0 if none was met.
+  /// Incarnation before the current one, and the repeat counts that it reported
+  /// last; 0 if none is known.
   std::uint64_t previous_incarnation = 0;
   std::vector<ServiceRepeats> previous_repeats;
   bool is_self = false;
-  /// The link this node dialled; null while there is none.
+  /// The link that this node dialled; null if not connected.
   PeerLinkPointer link;
   bool has_reported = false;
-  /// What it understands, see HelloFrame.
+  /// Protocol version of the peer, see HelloFrame.
   std::uint32_t protocol_version = 0;
-  /// The last state told, and when.
+  /// Last state that the peer reported, with later loads applied, and the time
+  /// of the last report.
   StateFrame reported;
   Millis reported_at;
-  /// Calls sent since the target's load was told.
+  /// Calls sent to it since `reported_at`, which its reported load does not
+  /// include.
   std::uint32_t sent_since_report = 0;
-  /// Calls of this node that are out there.
+  /// Calls of this node that are waiting for its answer.
   std::uint32_t outstanding = 0;
-  /// When something was sent that it must answer at once, besides calls.
+  /// When a request other than a call was sent that it must answer at once.
   Millis last_query_at;
-  /// Nothing came on its link for too long while calls are out.
+  /// Nothing was received on its link for too long while answers are due.
   bool is_suspect = false;
-  /// When it was asked for a sign of life last, and first since its last word.
+  /// When the last ping was sent, and the first one since anything was received
+  /// from it.
   Millis last_pinged;
   Millis first_pinged;
   control::TargetHealth health;
   bool is_dialling = false;
   Millis next_dial;
   Millis dial_backoff;
-  /// Since when no link could be had.
+  /// When the last link was lost, or when the node became known if there was
+  /// none.
   Millis disconnected_at;
-  /// Its host answered that nobody listens there: it is gone, not cut off.
+  /// The last connection attempt was refused: its process has ended, while a
+  /// node behind a network partition would not answer.
   bool is_connection_refused = false;
-  /// When a node that does not ask for policies was sent one last.
+  /// When the policy was last pushed to a peer below kVersionPolicyPull; 0 if
+  /// it is up to date.
   Millis policy_pushed_at;
-  /// The version that this node asked it for last; 0: none.
+  /// Policy version that was last requested from it; 0 if none.
   std::uint64_t requested_version = 0;
 
-  /// Whether calls can be sent to it now.
+  /// Whether calls can be sent to it now. A peer must have reported its state
+  /// first.
   bool IsReachable() const {
     return this->is_self || (this->link != nullptr && this->has_reported &&
                              this->link->IsOpen());
@@ -82,30 +91,34 @@
 using PeerPointer = std::shared_ptr<Peer>;
 
 struct PeerEvents {
-  /// Any other frame on a dialled link: an answer, a part of one. False if it
-  /// is of a known type and cannot be decoded; the link is given up then.
+  /// A frame on a dialled link that PeerTable does not handle, such as an
+  /// answer. Returns false if the type is known and the payload cannot be
+  /// decoded; the link is then closed.
   std::function<bool(const PeerPointer&, const RawFrame&)> on_dialled_frame;
-  /// Any other frame on an accepted link: a call, its cancel. False as above.
+  /// A frame on an accepted link that PeerTable does not handle, such as a call
+  /// or its cancellation. Return value as above.
   std::function<bool(const PeerLinkPointer&, const RawFrame&)>
       on_accepted_frame;
   std::function<void(LinkId)> on_accepted_closed;
   std::function<void(const PeerPointer&)> on_link_lost;
-  /// The node became suspect.
+  /// The node has become suspect, see Peer::is_suspect.
   std::function<void(const PeerPointer&)> on_suspect;
-  /// A state was told; `is_first`: the first on this link.
+  /// The peer reported its state; `is_first`: for the first time on this link.
   std::function<void(const PeerPointer&, bool is_first)> on_state;
   std::function<void(std::string policy)> on_policy;
-  /// A peer remembers one of this node's instances.
+  /// A peer reports the state of a target instance of this node that it
+  /// recorded, possibly before this node restarted.
   std::function<void(const InstanceRecord&)> on_remembered_instance;
-  /// A peer confirmed the state made after that report.
+  /// A peer has recorded the state that includes that report.
   std::function<void(const ReportId&)> on_state_confirmed;
-  /// A peer has met a start of this node before; what that told of repeats.
+  /// A peer knows an earlier incarnation of this node and returns the repeat
+  /// counts that it had reported.
   std::function<void(const std::vector<ServiceRepeats>&)> on_previous_repeats;
-  /// This start of the node has another number from now on.
+  /// This node's incarnation number was raised above one that a peer knows.
   std::function<void(std::uint64_t incarnation)> on_incarnation_changed;
-  /// The state to tell now.
+  /// Builds the current state of this node.
   std::function<StateFrame()> make_state;
-  /// The policy in force as it is passed between nodes; empty if none.
+  /// The policy in force, in the form that nodes exchange; empty if none.
   std::function<const std::string&()> policy_text;
 };
 
@@ -120,57 +133,60 @@
   PeerTable(const PeerTable&) = delete;
   PeerTable& operator=(const PeerTable&) = delete;
 
-  /// Accepts links. Errors: kIo.
+  /// Starts to accept links at the peer address. Errors: kIo.
   Result<void> Listen();
 
-  /// Makes a node known. A later incarnation replaces an earlier one. True if
-  /// nothing was known of it.
+  /// Adds a node, or updates one whose incarnation is later than the known one;
+  /// its link is then dialled anew. True if the node was not known.
   bool AddNode(const NodeAddress& node);
 
-  /// Tells addresses on all accepted links.
+  /// Sends the addresses to all nodes with accepted links.
   void AnnounceNodes(const std::vector<NodeAddress>& nodes);
 
-  /// Tells the state on all accepted links now.
+  /// Sends the current state, or only what changed of it, on all accepted
+  /// links.
   void AnnounceState();
 
-  /// Dials, tells and notices silent links; call every 100 ms.
+  /// Dials nodes without a link, reports state when it is due, checks silent
+  /// links and requests missing policies. Call it every 100 ms.
   void Tick(Millis now);
 
-  /// This node, in the form in which others know it.
+  /// Name, advertised address and incarnation of this node.
   NodeAddress SelfAddress() const { return this->self->node; }
-  /// Later links name this number.
+  /// Sets the incarnation that is sent on later links.
   void SetIncarnation(std::uint64_t incarnation) {
     this->self->node.incarnation = incarnation;
   }
   const PeerPointer& SelfPeer() const { return this->self; }
   const std::vector<PeerPointer>& All() const { return this->peers; }
-  /// The nodes beside targets of `service`, this one included.
+  /// Nodes beside targets of `service`, including this one. Valid until the
+  /// table changes.
   const std::vector<PeerPointer>& PeersOfService(const std::string& service);
-  /// Nodes that were reachable lately, this one included.
+  /// Number of nodes that calls can be sent to, including this one.
   std::uint32_t CountReachable() const;
 
-  /// Reachable nodes that can read the source of the policy and come before
-  /// this one in the order of hashed names.
+  /// Number of reachable nodes that can read the policy source and precede this
+  /// one in the order of hashed names. The order is the same on all nodes.
   std::uint32_t RankAmongReachable() const;
-  /// Known nodes, reachable or not, that come before this one in that order.
+  /// Number of known nodes, reachable or not, that precede this one in that
+  /// order.
   std::uint32_t RankAmongKnown() const;
-  /// Whether this node is one of its zone's few that follow the source of the
-  /// policy.
+  /// Whether this node is one of the few in its zone that poll the policy
+  /// source.
   bool FollowsSource() const;
 
-  /// Whether this node, or one that it reaches, can read the source of the
-  /// policy.
+  /// Whether this node, or a reachable one, can read the policy source.
   bool HasAccessToSource() const;
 
-  /// How many nodes are reached, and how many there are that are not known to
-  /// be gone, this one counted in both.
+  /// Number of reachable nodes, and of nodes that are not known to have ended.
+  /// Both include this node.
   struct Reachability {
     std::uint32_t reachable = 0;
     std::uint32_t known = 0;
   };
   Reachability MeasureReachability(Millis now) const;
 
-  /// Buffer of an accepted link, or null if it is closed.
+  /// The accepted link with that id, or null if it is closed.
   PeerLinkPointer FindAcceptedLink(LinkId link) const {
     const auto found = this->accepted.find(link);
     return found == this->accepted.end() ? nullptr : found->second.link;
@@ -183,7 +199,8 @@
     PeerLinkPointer link;
     std::string node;
     std::uint32_t protocol_version = 0;
-    /// Count of the facts that were told on it last; 0: none yet.
+    /// Value of `state_revision` at the last state sent on it; 0 if none was
+    /// sent.
     std::uint64_t announced_revision = 0;
   };
 
@@ -191,7 +208,7 @@
   void RetryAcceptLater();
   void Dial(Millis now, const PeerPointer& peer);
   void AttachLink(const PeerPointer& peer, boost::asio::ip::tcp::socket socket);
-  // False: the frame cannot be decoded.
+  // Returns false if the frame cannot be decoded.
   bool HandleDialledFrame(const PeerPointer& peer, const RawFrame& frame);
   bool HandleAcceptedFrame(const PeerLinkPointer& link, const RawFrame& frame);
   void OnDialledFrame(const PeerPointer& peer, const RawFrame& frame);
@@ -228,25 +245,27 @@
   std::vector<PeerPointer> peers;
   std::map<LinkId, AcceptedLink> accepted;
   std::unordered_map<std::string, std::vector<PeerPointer>> by_service;
-  /// Instances of other nodes that were told to leave, by node; the latest
-  /// told are last.
+  /// Instances of other nodes that were reported as draining, by node; the
+  /// latest are last.
   std::map<std::string, std::deque<InstanceRecord>> draining_instances;
-  /// Who asked for the policy and waits for it, and how many are being sent it.
+  /// Links that wait for the policy, and the number of transfers in progress.
   std::deque<LinkId> policy_requests;
   std::uint32_t policy_transfers = 0;
-  /// The node that was asked for the policy and has not sent it; when it was.
+  /// The node that the policy was requested from and that has not sent it yet,
+  /// and the time of the request.
   std::weak_ptr<Peer> policy_requested_from;
   Millis policy_requested_at;
-  /// When a text came that did not bring this node to the version that was
-  /// asked for; 0: none did since a newer version is known.
+  /// When a policy was received that did not bring this node to the requested
+  /// version, for example because it could not be parsed; 0 if none was since a
+  /// newer version is known.
   Millis policy_unusable_at;
-  /// Since when a newer version than the own one is known; 0: none is.
+  /// Since when a policy newer than the one in force is known; 0 if none is.
   Millis newer_version_since;
   std::uint64_t next_link = 1;
-  /// The calls of chains that were told last, and when.
+  /// Call chains that were last sent on all links, and when.
   std::vector<control::RootRate> announced_chains;
   Millis chains_announced_at;
-  /// Counts the changes of this node's facts.
+  /// Incremented when anything in this node's state except its load changes.
   std::uint64_t state_revision = 1;
   std::mt19937 random;
   Millis last_announced;
--- a/libs/relay/include/almondlink/relay/quarantine_exchange.h
+++ b/libs/relay/include/almondlink/relay/quarantine_exchange.h
@@ -10,22 +10,25 @@
 #include "almondlink/relay/peer_table.h"
 #include "almondlink/relay/relay_settings.h"
 
-/// Requests that targets ended under, between nodes: each node tells all others
-/// of ends and of whole runs as it learns of them, and asks the node that the
-/// service's name chooses for trials. The rules are in
-/// almondlink/control/blame.h.
+/// Exchange of query-of-death records between nodes.
 ///
-/// Ways weighed: the count at the node that the digest chooses, asked before
-/// each send, knows no race, but an end is counted nowhere while that node is
-/// cut off; the count at the target's node alone is never late, but each target
-/// would have to end three times. Told to all, what is known bounds what every
-/// node sends, with whoever it is in touch; only trials are asked for.
+/// Each node broadcasts crashes of targets, with the requests that were
+/// running, and completed runs of such requests as it observes them. Trials of
+/// quarantined requests are granted by one node for each service, the trial
+/// coordinator. The rules are in almondlink/control/blame.h.
+///
+/// Alternatives: a counter for each request at one node, asked before each
+/// send, has no races, but crashes are not counted while that node is
+/// unreachable. Counting only at the target's node is always up to date, but
+/// lets a request crash each target several times. With broadcasts every node
+/// limits its own sends by what it knows, whichever nodes it can reach; only
+/// trials need a request to another node.
 namespace almondlink::relay {
 
 /// Not thread safe: belongs to one loop.
 class QuarantineExchange {
  public:
-  /// A trial may begin at the target beside the node named.
+  /// Called when a trial of the request may begin at the target beside `node`.
   using TrialPermitHandler =
       std::function<void(const control::RequestDigest& digest,
                          const std::string& node)>;
@@ -36,59 +39,66 @@
   QuarantineExchange(const QuarantineExchange&) = delete;
   QuarantineExchange& operator=(const QuarantineExchange&) = delete;
 
-  /// Who keeps what a trial has proved where it outlasts all nodes: called by
-  /// the node that began the trial only. Each may be null.
+  /// Sets the handlers that store results of trials beyond the lifetime of the
+  /// nodes: `on_confirmed` for a confirmed query of death, `on_cleared` for a
+  /// request that completed after that. They are called only on the node that
+  /// ran the trial. Each may be null.
   void SetConfirmationHandlers(
       std::function<void(const control::RequestDigest&,
-                         const control::BlameRecord&)> on_guilty,
+                         const control::BlameRecord&)> on_confirmed,
       std::function<void(const control::RequestDigest&)> on_cleared);
-  /// Takes what was kept.
+  /// Merges a record that was stored by `on_confirmed`.
   void MergeStored(const control::RequestDigest& digest,
                    const control::BlameRecord& record);
 
-  /// Whether nothing is known of any request with this path. Where it holds no
-  /// digest is needed.
+  /// Whether no record exists for any request with this path hash. If so, the
+  /// digest of the request need not be computed.
   bool IsPathUnknown(std::uint64_t path) const;
   bool IsEmpty() const { return this->table.records.empty(); }
 
   control::BlameVerdict Decide(const control::RequestDigest& digest,
                                Millis now) const;
 
-  /// The request was under way where a target ended; told to all. True if that
-  /// was not known.
+  /// Records that the request was running when a target crashed, and broadcasts
+  /// it. Returns false if this crash was already recorded for it.
   bool RecordTargetCrash(const control::RequestDigest& digest,
                          const control::TargetEnd& end,
                          Millis now);
-  /// A target lived through it; told to all. True if anything was known.
+  /// Records that a run of the request completed, and broadcasts it. Returns
+  /// false if there was no record of the request.
   bool RecordCompletedRun(const control::RequestDigest& digest);
 
-  /// The operator lets go of the request with that digest, as a whole run
-  /// would; told to all. False if nothing is known of it here.
+  /// Releases the request with that digest from quarantine on behalf of an
+  /// operator, as a completed run would, and broadcasts it. Returns false if it
+  /// has no record here.
   bool Lift(const std::string& digest);
 
-  /// A line for each request that is held, with a head: digest, ends, failed
-  /// trials, whether it is tried or refused, and milliseconds.
+  /// Lists the quarantined requests as tab-separated lines with a header:
+  /// digest, crashes, failed trials, whether the request runs on trial or is
+  /// refused, time until the next trial and time since the last crash in
+  /// milliseconds.
   std::string ListQuarantined(Millis now) const;
 
-  /// Asks for a trial, if it is time to.
+  /// Requests a trial from the coordinator, at most once per interval for each
+  /// request. `left`: time that the caller still waits.
   void RequestTrial(const control::RequestDigest& digest,
                     const std::string& service,
                     Millis left,
                     Millis now);
-  /// The trial that was permitted is over, or cannot begin.
+  /// Reports to the coordinator that a granted trial has ended or cannot begin.
   void EndTrial(const control::RequestDigest& digest,
                 const std::string& service);
 
-  /// Frames of other nodes.
+  /// Handlers of frames from other nodes.
   void OnUpdates(const QuarantineFrame& frame);
   void OnTrialRequest(const PeerLinkPointer& link,
                       const TrialRequestFrame& ask);
   void OnTrialResponse(const TrialResponseFrame& answer);
   void OnTrialEnded(const TrialEndedFrame& over);
-  /// A link to the node is usable: it is told of the requests that are held.
+  /// Sends all suspect requests to a peer whose link became usable.
   void OnPeerConnected(const PeerPointer& peer);
 
-  /// Forgets what is too old; call every 100 ms.
+  /// Removes expired records; call every 100 ms.
   void Tick(Millis now);
 
   const control::BlameRecord* Find(const control::RequestDigest& digest) const {
@@ -113,9 +123,9 @@
       on_confirmed;
   std::function<void(const control::RequestDigest&)> on_cleared;
   control::BlameTable table;
-  /// Of the services that this node permits the trials of.
+  /// Trials of the services that this node coordinates.
   control::TrialBook trials;
-  /// When the trial of a request was asked for last.
+  /// When the trial of each request was last requested.
   std::map<control::RequestDigest, Millis> last_requested;
 };
 
--- a/libs/relay/include/almondlink/relay/quota_exchange.h
+++ b/libs/relay/include/almondlink/relay/quota_exchange.h
@@ -10,58 +10,65 @@
 #include "almondlink/relay/peer_table.h"
 #include "almondlink/relay/relay_settings.h"
 
-/// Quotas of client accounts between nodes: asks the lender of each account for
-/// tokens, and lends those of the accounts that this node is the lender of. The
-/// rules are in almondlink/control/quota_lending.h.
+/// Distributed rate limits of client accounts. For each account one node, the
+/// lender, holds the token bucket and lends tokens to the others. This class
+/// requests tokens from the lenders and lends those of the accounts that this
+/// node is the lender of. The rules are in almondlink/control/quota_lending.h.
 namespace almondlink::relay {
 
 /// Not thread safe: belongs to one loop.
 class QuotaExchange {
  public:
-  /// `on_tokens`: the lender of an account has answered, or stays silent; what
-  /// waits for its tokens should be looked at. All must outlive it.
+  /// `on_tokens` is called when the lender of an account has answered; queued
+  /// requests of the account should then be tried again. All arguments must
+  /// outlive this object.
   QuotaExchange(const RelaySettings& settings,
                 PeerTable& peers,
                 std::function<void(policy::AccountKey)> on_tokens);
   QuotaExchange(const QuotaExchange&) = delete;
   QuotaExchange& operator=(const QuotaExchange&) = delete;
 
-  /// The policy in force, whose limits are kept from now on.
+  /// Sets the policy whose limits are enforced from now on.
   void SetTable(policy::RouteTablePointer table);
 
-  /// Decides a request of the account; call once for each. Accounts without a
-  /// limit always have one.
+  /// Takes a token for a new request of the account; call it once for each
+  /// request. Always succeeds for accounts without a limit.
   control::QuotaAnswer TakeToken(const policy::ClientAccount& account,
                                  Millis now);
-  /// Whether there is a token now for a request that was to wait for one.
+  /// Takes a token for a queued request; false if none is available.
   bool TakeTokenForQueued(const policy::ClientAccount& account, Millis now);
-  /// The request did not run: its token can be used again.
+  /// Returns the token of a request that did not run.
   void ReturnToken(const policy::ClientAccount& account, Millis now);
-  /// Asks the lender, if it is time to, for so many requests that wait.
+  /// Requests tokens from the lender if a request is due. `waiting`: number of
+  /// queued requests of the account.
   void RequestTokens(const policy::ClientAccount& account,
                      std::uint32_t waiting,
                      Millis now);
-  /// Whether the lender has said that there is nothing for those who wait.
+  /// Whether the lender reported that no token will be free soon enough for
+  /// queued requests.
   bool IsExhausted(const policy::ClientAccount& account, Millis now) const;
-  /// Whether the lender does not answer.
+  /// Whether the lender does not answer, or was never asked.
   bool IsLenderSilent(const policy::ClientAccount& account, Millis now) const;
-  /// Until the account has a token for a caller that is turned away.
+  /// Time until the account has a token for a refused caller, for its retry
+  /// advice; 0 if unknown.
   Millis TimeUntilToken(const policy::ClientAccount& account) const;
-  /// Whether this node, and with it perhaps all others, has started so lately
-  /// that nobody may lend yet.
+  /// Whether this node started so recently that no node may be able to lend
+  /// yet, since all may have started together.
   bool IsStartingUp(Millis now) const;
-  /// Requests here per second, and tokens that were lent for them.
+  /// Rate of the account's requests at this node, and of the tokens lent for
+  /// them, per second.
   double DemandPerSecond(const policy::ClientAccount& account) const;
   double LentPerSecond(const policy::ClientAccount& account) const;
-  /// Name of the node that lends the account's tokens, for the log.
+  /// Name of the account's lender, for the log.
   std::string LenderOf(const policy::ClientAccount& account) const;
 
-  /// An ask of another node; the answer goes to `link`.
+  /// Answers a request of another node on `link`.
   void OnQuotaRequest(const PeerLinkPointer& link,
                       const QuotaRequestFrame& ask);
   void OnLoan(const QuotaLoanFrame& frame);
 
-  /// Notices nodes that came or went, and silent lenders; call every 100 ms.
+  /// Tracks changes of the set of lenders and drops unused state; call every
+  /// 100 ms.
   void Tick(Millis now);
 
   std::size_t PurseCount() const { return this->purses.size(); }
@@ -81,10 +88,10 @@
   policy::RouteTablePointer table;
   std::unordered_map<std::uint32_t, control::QuotaPurse> purses;
   std::unordered_map<std::uint32_t, control::QuotaBucket> buckets;
-  /// Hash of the nodes that may be lenders, and since when it is the same.
+  /// Hash of the set of possible lenders, and since when it is unchanged.
   std::uint64_t lender_set_hash = 0;
   Millis lender_set_since;
-  /// When this node first had a policy.
+  /// When this node received its first policy.
   Millis first_policy_at;
   Millis last_tick;
 };
--- a/libs/relay/include/almondlink/relay/relay_node.h
+++ b/libs/relay/include/almondlink/relay/relay_node.h
@@ -20,24 +20,24 @@
 #include "almondlink/relay/relay_settings.h"
 #include "almondlink/relay/served_calls.h"
 
-/// One node as a relay: callers on its host, the target beside it, and the
-/// other nodes. An adapter feeds it the policy, the reports of the target and
-/// the addresses of other nodes, and asks it whether it is ready.
+/// One node as a relay: it serves the callers on its host, the target beside it
+/// and the other nodes. An adapter passes it the policy, the target's reports
+/// and the addresses of other nodes, and queries its readiness.
 namespace almondlink::relay {
 
-/// What the adapter does for the node.
+/// Callbacks that the adapter provides.
 struct RelayHooks {
-  /// Turns a policy as it is passed between nodes into a table; null if it is
-  /// none.
+  /// Parses a policy in the form that nodes exchange; null if it is invalid.
   std::function<policy::RouteTablePointer(const std::string& text)>
       parse_policy;
-  /// The node has nothing left to do after Stop().
+  /// The graceful stop that Stop() began is complete.
   std::function<void()> on_stopped;
-  /// This start of the node has another number from now on, above one that
-  /// another node has met.
+  /// This node's incarnation number was raised above one that another node
+  /// knows.
   std::function<void(std::uint64_t incarnation)> on_incarnation_changed;
-  /// A trial proved that the request ends targets, or a later one that it does
-  /// not: to be kept where it outlasts all nodes. Each may be null.
+  /// A trial confirmed the request as a query of death (`on_confirmed`), or a
+  /// later run of it completed (`on_cleared`). The result is to be stored
+  /// beyond the lifetime of the nodes. Each may be null.
   std::function<void(const control::RequestDigest& digest,
                      const control::BlameRecord& record)>
       on_confirmed;
@@ -54,32 +54,32 @@
   RelayNode(const RelayNode&) = delete;
   RelayNode& operator=(const RelayNode&) = delete;
 
-  /// Opens the addresses. Errors: kIo.
+  /// Starts to listen for callers and for other nodes. Errors: kIo.
   Result<void> Start();
 
-  /// Takes a policy if it is newer than the one in force. `text`: the form that
-  /// is passed to other nodes. `source` is for the log.
+  /// Applies a policy if it is newer than the one in force. `text`: the form
+  /// that nodes exchange. `source` is for the log.
   void ApplyPolicy(policy::RouteTablePointer table,
                    const std::string& text,
                    const char* source);
 
-  /// A report of the instance; `acknowledge` is called once the report can be
-  /// acknowledged: a leave is first made known to another node, so that a
-  /// restart of this one does not forget it. Errors: kBadMessage if the service
-  /// is not one of the policy's or not that of the start; nothing is taken
-  /// then.
+  /// A report of the target instance. `acknowledge` is called once the report
+  /// may be acknowledged: a leave is first sent to another node, so that a
+  /// restart of this node does not lose it. Errors: kBadMessage if the service
+  /// is not in the policy or differs from the one the instance started with;
+  /// the report is then ignored.
   Result<void> OnReport(const control::InstanceReport& report,
                         std::function<void()> acknowledge);
   void OnLeave(const control::InstanceStart& start,
                std::function<void()> acknowledge);
 
-  /// Takes what was kept of a request that ended targets.
+  /// Merges a stored record of a confirmed query of death.
   void RestoreQuarantine(const control::RequestDigest& digest,
                          const control::BlameRecord& record) {
     this->entry.Blame().MergeStored(digest, record);
   }
 
-  /// See BlameExchange.
+  /// See QuarantineExchange.
   std::string ListQuarantined() {
     return this->entry.Blame().ListQuarantined(BootTimeNow());
   }
@@ -87,49 +87,50 @@
     return this->entry.Blame().Lift(digest);
   }
 
-  /// Makes another node known. True if nothing was known of it.
+  /// Adds or updates another node. True if it was not known.
   bool AddNode(const NodeAddress& node) { return this->peers.AddNode(node); }
-  /// Makes nodes known to all others.
+  /// Sends the addresses of nodes to all other nodes.
   void AnnounceNodes(const std::vector<NodeAddress>& nodes) {
     this->peers.AnnounceNodes(nodes);
   }
   NodeAddress SelfAddress() const { return this->peers.SelfAddress(); }
-  /// Numbers this start anew, above an earlier one's.
+  /// Raises the incarnation of this node above that of an earlier start.
   void SetIncarnation(std::uint64_t incarnation) {
     this->peers.SetIncarnation(incarnation);
   }
 
-  /// Whether this is one of the first `count` nodes in an order that all nodes
-  /// know, of those that are reachable: for work that a few do for all.
+  /// Whether this is one of the first `count` reachable nodes, in an order that
+  /// is the same on all nodes. Selects the nodes that do work on behalf of all.
   bool IsAmongFirst(std::uint32_t count) const {
     return this->peers.RankAmongReachable() < count;
   }
 
-  /// The same of all nodes that are known, reachable or not: before links are
-  /// there.
+  /// The same for all known nodes, reachable or not: for use before links
+  /// exist.
   bool IsAmongFirstKnown(std::uint32_t count) const {
     return this->peers.RankAmongKnown() < count;
   }
-  /// Whether this node is one of the few that read the source of the policy.
+  /// Whether this node is one of the few that poll the policy source.
   bool FollowsSource() const { return this->peers.FollowsSource(); }
-  /// Whether the source of the policy can be read from here; others stand in
-  /// while it cannot.
+  /// Sets whether the policy source can be read from here; other nodes take
+  /// over while it cannot.
   void SetHasSource(bool has_source_in);
 
-  /// Whether callers may be sent here.
+  /// Whether callers may be routed to this node: it has a policy and is not
+  /// stopping.
   bool IsReady() const;
 
-  /// Takes over what may change while the node runs: the service and the
-  /// target's address. Nothing in flight is touched.
+  /// Applies the settings that may change at run time, such as the service and
+  /// the target's address. Requests in flight are not affected.
   void Reload(const RelaySettings& changed);
 
-  /// Starts a graceful stop; `on_stopped` follows within the grace time.
+  /// Starts a graceful stop; `on_stopped` is called within the grace time.
   void Stop();
 
   /// Version of the policy in force; 0 if none.
   std::uint64_t PolicyVersion() const;
 
-  /// Appends counters and latencies in the text exposition format.
+  /// Appends all metrics in the Prometheus text format.
   void WriteMetrics(MetricText& out);
 
  private:
@@ -142,7 +143,7 @@
   PeerEvents MakePeerEvents();
   ServedEvents MakeServedEvents();
   StateFrame MakeState();
-  // False: the frame is of a known type and cannot be decoded.
+  // Return false if the frame is of a known type and cannot be decoded.
   bool OnCallFrame(const PeerLinkPointer& link, const RawFrame& frame);
   bool OnQuarantineFrame(const PeerLinkPointer& link, const RawFrame& frame);
   bool OnAnswerFrame(const PeerPointer& peer, const RawFrame& frame);
@@ -165,19 +166,19 @@
   CallerPort callers;
   boost::asio::steady_timer tick_timer;
   std::string policy_text;
-  /// When the policy in force was taken.
+  /// When the policy in force was applied.
   Millis policy_applied_at;
   std::vector<PendingAck> pending_acks;
-  /// Least difference between the clocks of a link's ends, to tell frames that
-  /// were held up.
+  /// Minimum difference between the clocks of a link's ends that was observed
+  /// on it; a larger one is the delay of a frame on the link.
   std::map<LinkId, std::int64_t> min_clock_offsets;
   std::uint32_t ticks = 0;
-  /// Slot time that there was, and that was used, while requests were refused
-  /// for want of the target beside this node.
+  /// Slot time that was available and that was used at this target while
+  /// requests were refused because its service was short of capacity.
   double short_available_s = 0;
   double short_used_s = 0;
   Millis stop_started;
-  /// Until a read has failed it is taken for readable.
+  /// Assumed to be readable until a read fails.
   bool has_source = true;
   bool is_stopping = false;
   bool is_stop_announced = false;
--- a/libs/relay/include/almondlink/relay/relay_settings.h
+++ b/libs/relay/include/almondlink/relay/relay_settings.h
@@ -20,61 +20,63 @@
 
 namespace almondlink::relay {
 
-/// How a relay decides; docs/SETTINGS.md, [decisions].
+/// Tuning of a relay's decisions; see docs/SETTINGS.md, [decisions].
 struct DecisionRules {
   control::ChainRules admission;
   control::PlaceRules placement;
   control::HealthRules health;
-  /// Part of a target's slots that is used.
+  /// Share of a target's slots that is used.
   double usable_slots = 0.94;
-  /// Most sends of one request that reach a target.
+  /// Maximum number of sends of one request that reach a target.
   std::uint32_t repeat_sends = 12;
-  /// Calls are taken back from nodes that do not answer.
+  /// Whether calls to nodes that do not answer are withdrawn and sent
+  /// elsewhere.
   bool has_suspects = true;
-  /// Since a service last had a target, so long until the next is expected.
+  /// How long after a service lost its last target a new one is still expected.
   Millis wait_for_target{3000};
-  /// Middle of the advice when to return, as a part of the latency target.
+  /// Mean of the retry delay that refused callers are given, as a share of the
+  /// latency target.
   double return_part = 0.25;
-  /// The own zone's target is used while a request takes no more than this part
-  /// of its latency target there.
+  /// Targets of the own zone are preferred while a request takes no more than
+  /// this share of its latency target there.
   double zone_patience = 0.25;
-  /// Time that a call was held up on a link is taken from its deadline.
+  /// Whether the time that a call was delayed on a link is subtracted from its
+  /// remaining time.
   bool has_held_frames = true;
-  /// Who reads the source of the policy for all.
+  /// Which nodes poll the policy source on behalf of all.
   control::FollowRules follow;
-  /// A failure of a target's own costs a request so many of its latency
-  /// targets, where the service's other targets fail less.
+  /// Cost of a target's own failure in multiples of the request's latency
+  /// target, where the service's other targets fail less.
   double error_targets = 1;
 };
 
-/// Everything that a relay is started with.
+/// Configuration of a relay.
 struct RelaySettings {
   NodeId node;
   std::string deployment;
   ZoneName zone;
-  /// Service of the target beside this node; callers on this host speak in its
-  /// name.
+  /// Service of the target beside this node; requests of callers on this host
+  /// are attributed to it.
   ServiceName service;
   boost::asio::ip::tcp::endpoint caller_address;
   boost::asio::ip::tcp::endpoint peer_address;
-  /// What other nodes are told of it; the address itself if not set.
+  /// Address that is announced to other nodes; `peer_address` if not set.
   boost::asio::ip::tcp::endpoint advertised_address;
   boost::asio::ip::tcp::endpoint target_address;
   HeaderNames names;
-  /// Time after which a leaving instance must get nothing more.
+  /// Time after which a draining instance must receive no more requests.
   Millis drain{2000};
-  /// Time between the stop signal and the end that is forced.
+  /// Time between the stop signal and the forced end.
   Millis grace{6000};
-  /// Bound on requests that are sent to a second target.
+  /// Limit on requests that are sent to a second target.
   control::RepeatRules repeats;
-  /// Bound on what one client account may have run.
+  /// Rate limits of client accounts.
   control::QuotaRules quotas;
-  /// A node that has not heard of the source of the policy for this long takes
-  /// no API key any more; none: it goes on by the policy it has.
+  /// A node that has had no access to the policy source for this long accepts
+  /// no API keys any more. Not set: it keeps using the policy it has.
   std::optional<Millis> revoke_after;
   DecisionRules decisions;
-  /// Id of the request that a request's id names as the one it was made for;
-  /// empty if it is a root request.
+  /// Extracts the parent's id from a request id; empty for a root request.
   std::function<std::string_view(std::string_view id)> parent_of;
 };
 
--- a/libs/relay/include/almondlink/relay/served_calls.h
+++ b/libs/relay/include/almondlink/relay/served_calls.h
@@ -19,23 +19,24 @@
 #include "almondlink/relay/peer_frames.h"
 #include "almondlink/relay/target_pool.h"
 
-/// Calls for the target beside this node: who runs, who waits, who is sent
-/// back.
+/// Queues and dispatches the calls for the target beside this node, and rejects
+/// those that cannot be served.
 ///
-/// This node sees all traffic of its target, so it holds the target's
-/// concurrency exactly. What does not fit waits in one order: by the priority
-/// of the root request, then deeper calls first (more was spent on them), then
-/// by arrival.
+/// All traffic of the target passes through this node, so its concurrency limit
+/// is exact. Calls beyond the limit are queued in one order: by the priority of
+/// the root request, then deeper calls first (more work was already spent on
+/// them), then by arrival.
 namespace almondlink::relay {
 
-/// Where an answer goes: the link that the call came by, or 0 for this node.
+/// Id of the link that a call came by, to which its answer goes; kLocalLink for
+/// calls of this node.
 using LinkId = std::uint64_t;
 constexpr LinkId kLocalLink = 0;
 
-/// What is known of a running request, for the calls that it makes.
+/// Properties of a running request that the calls it makes inherit.
 struct RunInfo {
   std::uint32_t root_route = 0;
-  /// Of the id of the root request; all calls of a chain have the same.
+  /// Hash of the root request's id, the same in all calls of a chain.
   std::uint64_t root_hash = 0;
   std::uint8_t priority = 0;
   std::uint8_t depth = 0;
@@ -46,19 +47,19 @@
 struct ServedEvents {
   std::function<void(LinkId, const AnswerFrame&)> on_answer;
   std::function<void(LinkId, const DataFrame&)> on_part;
-  /// A call ended without having run, or broke; for the log.
+  /// A call was not run, or failed after it was sent; for the log.
   std::function<void(const std::string& request_id,
                      CallReason reason,
                      bool was_sent,
                      Millis waited)>
       on_failed;
-  /// The process of that start of the target is gone; `running`: calls that
-  /// ended with it.
+  /// The process of that incarnation of the target has crashed; `running`:
+  /// number of calls that were running.
   std::function<void(const control::InstanceStart& start, std::size_t running)>
       on_target_crashed;
 };
 
-/// Counters for metrics; all only grow.
+/// Counters for metrics; they never decrease.
 struct ServedCounters {
   std::uint64_t calls = 0;
   std::uint64_t answered = 0;
@@ -66,15 +67,15 @@
   std::uint64_t not_sent = 0;
   std::uint64_t broken = 0;
   std::uint64_t cancelled = 0;
-  /// Starts of the target whose process was found gone.
+  /// Crashes of the target's process that were detected.
   std::uint64_t target_crashes = 0;
 };
 
 /// Not thread safe: belongs to one loop.
 class ServedCalls {
  public:
-  /// `names` must outlive it. `drain`: time after which a leaving instance must
-  /// get nothing more.
+  /// `names` must outlive it. `drain`: time after which a draining instance
+  /// must receive no more calls.
   ServedCalls(boost::asio::io_context& loop,
               const HeaderNames& names,
               Millis drain,
@@ -85,43 +86,49 @@
 
   void SetTargetAddress(const boost::asio::ip::tcp::endpoint& address);
 
-  /// Part of the target's slots that is used.
+  /// Sets the share of the target's slots that is used.
   void SetUsableShare(double part) { this->ledger.usable_part = part; }
 
-  /// Takes a call; exactly one answer follows unless it is cancelled.
-  /// `transit_delay`: time that the frame was transit_delay up on its way.
+  /// Accepts a call; exactly one answer follows unless it is cancelled.
+  /// `transit_delay`: time that the frame was delayed on the link, which is
+  /// subtracted from the remaining time.
   void OnCall(LinkId link, const CallFrame& frame, Millis transit_delay);
   void OnCancel(LinkId link, std::uint32_t id);
   void OnWindow(LinkId link, std::uint32_t id, std::uint32_t bytes);
   void OnLinkClosed(LinkId link);
 
-  /// Reports of the instance; see control/instance_ledger.h.
+  /// Applies reports of the target instance; see control/instance_ledger.h.
+  /// RestoreDraining() takes a leave that another node recorded.
   control::ReportEffect OnReport(const control::InstanceReport& report);
   control::ReportEffect OnLeave(const control::InstanceStart& start);
   control::ReportEffect RestoreDraining(const control::InstanceStart& start);
 
-  /// The run of the target that `request_id` belongs to, if it is running.
+  /// The running request with that id, if there is one.
   std::optional<RunInfo> FindRun(const std::string& request_id) const;
 
-  /// A running request of the target made a call.
+  /// Counts a call that a running request of the target made.
   void CountCallOfRun() { ++this->calls_of_runs.events; }
-  /// A call that a running request made has ended; `ran` ran for it.
+  /// Adds the runs of a completed call, and of the calls further down, to the
+  /// running request that made it.
   void AddRunCounts(const std::string& request_id,
                     const control::CallCounts& ran);
-  /// Runs at `service` that the calls of a running request have led to so far.
+  /// Number of runs at `service` that the calls of a running request have
+  /// caused so far.
   std::uint32_t CountRunsAt(const std::string& request_id,
                             const std::string& service) const;
-  /// Calls that a run makes, on average over the last seconds.
+  /// Mean number of calls that a run makes, over the last seconds.
   double CallsPerRun() const;
 
-  /// Part of the target's answers that are failures of its own, now.
+  /// Current share of the target's answers that are its own failures, 0 to 1.
   double ErrorRate() const;
 
-  /// Time-outs and the meter; call every few tens of milliseconds.
+  /// Handles timeouts and updates the demand meter; call it every few tens of
+  /// milliseconds.
   void Sweep(Millis now);
 
   const control::InstanceLedger& Ledger() const { return this->ledger; }
-  /// Whether the process of the target is known to be gone.
+  /// Whether the target's process is known to have crashed and has not reported
+  /// since.
   bool IsTargetGone() const { return this->is_target_gone; }
   const control::DemandMeter& Meter() const { return this->meter; }
   const ServedCounters& Counters() const { return this->counters; }
@@ -133,7 +140,7 @@
   struct Call;
   using CallKey = std::pair<LinkId, std::uint32_t>;
   using CallPointer = std::shared_ptr<Call>;
-  /// Priority, then depth (deeper first), then arrival.
+  /// Queue order: priority, then depth (deeper first), then arrival.
   using Order = std::tuple<std::uint8_t, int, std::uint64_t>;
 
   void FillSlots(Millis now);
@@ -151,12 +158,12 @@
   void EndRun(const CallPointer& call);
   void EndRunsOfPreviousIncarnation();
   void OnConnectionLost(const CallPointer& call);
-  void EndPartialAnswer(const CallPointer& call, bool is_target_ended);
+  void EndPartialAnswer(const CallPointer& call, bool is_crash);
   void RecordCancelled(Millis now, const CallPointer& call);
   void ReportCancelled();
   void StartCrashCheck();
-  void FinishCrashCheck(bool is_refused);
-  bool IsCrash(bool is_refused) const;
+  void FinishCrashCheck(bool is_connect_refused);
+  bool IsCrash(bool is_connect_refused) const;
   void RecordWorkTime(const Call& call, LatencyMs work);
   void Reject(const CallPointer& call, CallReason reason);
   void SendOutcome(const CallPointer& call,
@@ -176,19 +183,19 @@
   std::map<CallKey, CallPointer> calls;
   std::map<Order, CallPointer> queue;
   std::unordered_map<std::string, CallPointer> runs;
-  /// Calls whose connection closed without an answer, while it is found out
-  /// whether the target's process is gone.
+  /// Calls whose connection closed without an answer, while it is checked
+  /// whether the target's process has crashed.
   std::vector<CallPointer> awaiting_crash_check;
   bool is_checking_crash = false;
-  /// Calls that were cancelled while they ran: their target may yet end under
-  /// them.
+  /// Calls that were cancelled while they ran. If the target crashes soon
+  /// after, their senders are informed, since the call may be the cause.
   struct CancelledCall {
     LinkId link = 0;
     std::uint32_t id = 0;
     Millis at;
   };
   std::deque<CancelledCall> recently_cancelled;
-  /// The target's process is gone; until it reports again.
+  /// The target's process has crashed; reset by its next report.
   bool is_target_gone = false;
   std::uint64_t arrivals = 0;
   std::uint32_t running = 0;
--- a/libs/relay/include/almondlink/relay/socket_options.h
+++ b/libs/relay/include/almondlink/relay/socket_options.h
@@ -7,14 +7,14 @@
 
 namespace almondlink::relay {
 
-/// Sends at once, never blocks, and lets the kernel give a connection up whose
-/// bytes are not acknowledged within `silence`: open connections can lose their
-/// other end without a reset. Errors are ignored: a closed socket fails at its
-/// next use.
+/// Sets the socket to non-blocking, disables Nagle's algorithm and sets
+/// TCP_USER_TIMEOUT, so that the kernel closes a connection whose data is not
+/// acknowledged within `ack_timeout`: a peer can vanish without a reset. Errors
+/// are ignored, because a closed socket fails at its next use.
 void ConfigureSocket(boost::asio::ip::tcp::socket& socket, Millis ack_timeout);
 
-/// Whether a socket could not be had because descriptors or buffers are short:
-/// the same call may succeed later, and fails at once until then.
+/// Whether the error is a lack of descriptors, buffers or memory. The call may
+/// succeed later, and fails immediately until then.
 bool IsResourceShortage(const boost::system::error_code& error);
 
 }  // namespace almondlink::relay
--- a/libs/relay/include/almondlink/relay/target_pool.h
+++ b/libs/relay/include/almondlink/relay/target_pool.h
@@ -13,33 +13,34 @@
 #include "almondlink/relay/http_parser.h"
 #include "almondlink/relay/peer_frames.h"
 
-/// Connections to the target beside this node.
+/// Connection pool for the target beside this node.
 ///
-/// One exchange at a time uses a connection. A connection is used again only
-/// if the answer on it was whole, carried the id of the request and was
-/// followed by nothing: anything else belongs to no request. Long answers are
-/// handed on in parts while they arrive; reading stops while too much of them
-/// is not taken yet.
+/// A connection carries one exchange at a time. It is reused only if the answer
+/// was complete, carried the id of the request and was followed by no further
+/// bytes, because such bytes belong to no request. Long answers are passed on
+/// in parts as they arrive; reading pauses while too much of them has not been
+/// consumed.
 namespace almondlink::relay {
 
 /// One request to the target.
 struct TargetRequest {
   std::string id;
-  /// Head and body, ready to be written.
+  /// Serialized head and body.
   std::string bytes;
   bool is_head_method = false;
-  /// Prefer a connection that certainly is alive: the request may run once.
+  /// Whether the request may be sent again. If not, an idle connection is
+  /// reused only if it was in use very recently.
   bool is_repeatable = true;
 };
 
-/// How an exchange goes on. Each of the three may end it; after an end none is
-/// called any more.
+/// Events of an exchange. It ends with an answer without `has_more`, the last
+/// part or a failure; no event follows.
 struct TargetEvents {
-  /// The answer's head, and its body or the first part of it.
+  /// The answer's head with its body, or with the first part of it.
   std::function<void(const AnswerHead&, std::string body, bool has_more)>
       on_answer;
   std::function<void(std::string part, bool is_last, bool is_broken)> on_part;
-  /// No proper answer. `was_sent`: bytes of the request were written.
+  /// No valid answer. `was_sent`: at least one byte of the request was written.
   std::function<void(CallReason reason, bool was_sent)> on_failed;
 };
 
@@ -57,34 +58,37 @@
   TargetPool(const TargetPool&) = delete;
   TargetPool& operator=(const TargetPool&) = delete;
 
-  /// Later requests go to `address`; idle connections elsewhere are closed.
+  /// Sends later requests to `address` and closes idle connections if it
+  /// changed.
   void SetAddress(const boost::asio::ip::tcp::endpoint& address);
 
-  /// Sends on an idle or a new connection. Events come from the loop, never
-  /// from within this call.
+  /// Sends a request on an idle or a new connection. Events come from the event
+  /// loop, never from within this call.
   TargetExchange Send(Millis now, TargetRequest request, TargetEvents events);
 
-  /// Ends an exchange by closing its connection; no event follows.
+  /// Cancels an exchange by closing its connection; no event follows.
   static void Cancel(const TargetExchange& exchange);
 
-  /// `bytes` of the answer were taken by the one they are for.
+  /// Reports that the receiver consumed `bytes` of the answer, which lets
+  /// reading continue.
   static void OnConsumed(const TargetExchange& exchange, std::size_t bytes);
 
-  /// Closes idle connections before the target does, and connects that take
-  /// too long; call a few times a second.
+  /// Closes idle connections before the target closes them, and ends connection
+  /// attempts that time out; call a few times a second.
   void Sweep(Millis now);
 
   /// Closes all idle connections.
   void CloseIdle();
 
-  /// Tells once, within a tenth of a second, whether the target's process is
-  /// gone for sure.
+  /// Probes the target and calls `done` once, after about 100 ms at most, with
+  /// true if the connection was refused. Not called after the pool is
+  /// destroyed.
   void CheckProcessGone(std::function<void(bool is_gone)> done) const;
 
   /// Whether any idle connection is open.
   bool HasOpenIdle() const;
 
-  /// New connections made so far, for metrics.
+  /// Number of connection attempts so far, for metrics.
   std::uint64_t ConnectCount() const;
 
   struct State;
--- a/libs/relay/include/almondlink/relay/target_probe.h
+++ b/libs/relay/include/almondlink/relay/target_probe.h
@@ -5,24 +5,24 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <functional>
 
-/// Whether the process of the target beside this node is gone.
+/// Detects whether the process of the target beside this node has ended.
 ///
-/// A connection that closes proves nothing: answers are lost, connections are
-/// reset. A host that answers a connect with a refusal has nobody listening
-/// there.
+/// A closed connection proves nothing: answers get lost and connections are
+/// reset. If the host refuses a new connection, no process listens at the
+/// address.
 namespace almondlink::relay {
 
 enum class TargetProbeResult {
-  /// Somebody listens.
+  /// The connection was accepted.
   kListening,
-  /// Nobody does.
+  /// The connection was refused.
   kNotListening,
-  /// No word in time.
+  /// No answer in time, or another error.
   kUnknown,
 };
 
-/// Connects once and closes. `done` is called once, from the loop, within a
-/// tenth of a second.
+/// Connects once and closes the connection. `done` is called once, from the
+/// event loop, after about 100 ms at most.
 void ProbeTarget(boost::asio::io_context& loop,
                  const boost::asio::ip::tcp::endpoint& address,
                  std::function<void(TargetProbeResult)> done);
--- a/libs/relay/src/address.h
+++ b/libs/relay/src/address.h
@@ -6,10 +6,10 @@
 
 namespace almondlink::relay {
 
-/// Reads `ip:port`; an endpoint without a port if it is none.
+/// Parses `ip:port`. Returns an endpoint with port 0 if the text is invalid.
 boost::asio::ip::tcp::endpoint ParseAddress(const std::string& text);
 
-/// `ip:port`.
+/// Formats an endpoint as `ip:port`.
 std::string FormatAddress(const boost::asio::ip::tcp::endpoint& address);
 
 }  // namespace almondlink::relay
--- a/libs/relay/src/frame_codec.h
+++ b/libs/relay/src/frame_codec.h
@@ -11,19 +11,21 @@
 
 #include "almondlink/relay/peer_frames.h"
 
-/// Writing and reading the fields of frames (almondlink/relay/peer_frames.h).
+/// Encoding and decoding of frame fields (almondlink/relay/peer_frames.h).
 namespace almondlink::relay {
 
 constexpr std::size_t kHeaderSize = 5;
-/// Fractions travel as whole thousandths.
+/// Fixed-size fractions are encoded in thousandths.
 constexpr double kFractionScale = 1000;
-/// In short form as whole hundredths: a rate or time is not known better.
+/// Varint fractions are encoded in hundredths; rates and times are not known
+/// more precisely than that.
 constexpr double kVarintFractionScale = 100;
 constexpr std::uint64_t kVarintBase = 128;
-/// No rate or time comes near it, and below it a fraction keeps its digits.
+/// Upper limit of an encoded varint fraction. Real rates and times are far
+/// below it, and a double keeps all digits up to here.
 constexpr std::uint64_t kMaxVarintFraction = 1ULL << 48;
 
-/// Writes one frame; the length is filled in at the end.
+/// Writes one frame. The destructor fills in its length.
 class Writer {
  public:
   Writer(FrameType type, std::string& out_in)
@@ -52,7 +54,8 @@
     this->Put(static_cast<std::uint32_t>(text.size()));
     this->out.append(text);
   }
-  /// A number in groups of seven bits, the lowest first: small ones are short.
+  /// Writes a variable-length number: seven bits a byte, lowest first. Small
+  /// numbers take one byte.
   void PutVarint(std::uint64_t number) {
     while (number >= kVarintBase) {
       this->PutByte(
@@ -74,7 +77,8 @@
   std::size_t start;
 };
 
-/// Reads a payload; after its end every value is empty and `is_good` false.
+/// Reads a payload. Reads beyond its end return empty values and clear
+/// `is_good`.
 class Reader {
  public:
   explicit Reader(std::string_view payload) : rest(payload) {}
@@ -139,7 +143,8 @@
     this->Take(value);
     return value / kFractionScale;
   }
-  /// Entries of a list; a count that the payload cannot hold is refused.
+  /// Reads the length of a list. A length larger than the rest of the payload
+  /// is an error.
   std::uint32_t TakeCount() {
     std::uint32_t count = 0;
     this->Take(count);
@@ -149,7 +154,7 @@
     }
     return count;
   }
-  /// The same for a count that was written short.
+  /// The same for a length that was written as a varint.
   std::size_t TakeVarintCount() {
     const std::uint64_t count = this->TakeVarint();
     if (count > this->rest.size()) {
@@ -166,8 +171,7 @@
   bool is_good = true;
 };
 
-/// Part of a target's answers that are its own failures; an older node says
-/// nothing of it.
+/// Reads a target's error rate; older nodes do not send it.
 inline double TakeErrorRate(Reader& in) {
   return in.IsAtEnd() ? 0 : std::min(1.0, in.TakeVarintFraction());
 }
--- a/libs/relay/src/frame_dispatch.cc
+++ b/libs/relay/src/frame_dispatch.cc
@@ -2,7 +2,7 @@
 
 #include "almondlink/relay/relay_node.h"
 
-/// Where the frames of other nodes go.
+/// Dispatch of frames from other nodes to the parts of a relay.
 namespace almondlink::relay {
 
 bool RelayNode::OnCallFrame(const PeerLinkPointer& link,
@@ -53,12 +53,12 @@
     case FrameType::kTrialEnded:
       return this->OnQuarantineFrame(link, frame);
     default:
-      // A newer node's frame; it does without an answer.
+      // A frame type of a newer node, which expects no answer.
       return true;
   }
 }
 
-/// What other nodes know of requests that targets ended under, and ask for.
+/// Handles updates about requests that crashed targets, and trial requests.
 bool RelayNode::OnQuarantineFrame(const PeerLinkPointer& link,
                                   const RawFrame& frame) {
   QuarantineExchange& blame = this->entry.Blame();
--- a/libs/relay/src/node_metrics.cc
+++ b/libs/relay/src/node_metrics.cc
@@ -134,7 +134,7 @@
   WriteLog(out);
 }
 
-/// Services that no peer names any more are left out.
+/// Omits services that no known node reports any more.
 void RelayNode::WriteChains(MetricText& out) const {
   std::map<std::uint32_t, std::string> names;
   for (const PeerPointer& peer : this->peers.All()) {
--- a/libs/relay/src/peer_frames.cc
+++ b/libs/relay/src/peer_frames.cc
@@ -102,7 +102,7 @@
   writer.PutText(frame.status_text);
   writer.PutText(frame.fields);
   writer.PutText(frame.body);
-  // A chain over more services than there is room for tells none.
+  // A truncated list is not sent: its counts would be incomplete.
   writer.PutVarint(frame.run_counts.is_cut ? 0 : frame.run_counts.size);
   for (std::size_t i = 0; !frame.run_counts.is_cut && i < frame.run_counts.size;
        ++i) {
@@ -234,7 +234,7 @@
 bool DecodeStateConfirmed(std::string_view payload, ReportId& report) {
   Reader in(payload);
   in.Take(report.sequence);
-  // An older node says nothing of it.
+  // Older nodes do not send it.
   report.started_at = 0;
   if (!in.IsAtEnd()) {
     in.Take(report.started_at);
--- a/libs/relay/src/peer_link.cc
+++ b/libs/relay/src/peer_link.cc
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// Bytes unacknowledged for so long mean that the way to the peer is gone.
+/// If data is unacknowledged for this long, the path to the peer is broken.
 constexpr Millis kAckTimeout{2000};
-/// Bytes that may wait for a slow peer: some hundred answers.
+/// Maximum pending output of a link: some hundred answers to a slow peer.
 constexpr std::size_t kMaxPendingBytes = 16 * 1024 * 1024;
-/// Buffers that grew beyond this are given back when empty.
+/// Buffers larger than this are released when they become empty.
 constexpr std::size_t kMaxIdleCapacity = 16 * 1024;
 
 }  // namespace
@@ -127,7 +127,7 @@
   this->last_received = BootTimeNow();
   bool is_good = true;
   if (this->input.empty()) {
-    // Mostly whole frames: they are taken where they were read.
+    // Usually all frames are complete and need not be copied.
     const std::size_t used = this->DispatchFrames(bytes, is_good);
     this->input.append(bytes.substr(used));
   } else {
--- a/libs/relay/src/peer_policy.cc
+++ b/libs/relay/src/peer_policy.cc
@@ -5,18 +5,19 @@
 #include "almondlink/base/hash.h"
 #include "almondlink/relay/peer_table.h"
 
-/// How a policy goes from node to node: see almondlink/control/policy_source.h.
-/// This is the third unit of PeerTable.
+/// Distribution of the policy between nodes, see
+/// almondlink/control/policy_source.h. Part of the implementation of PeerTable.
 namespace almondlink::relay {
 
 namespace {
 
-/// Nodes that are sent the policy at the same time. Each holds a copy of its
-/// text in its link's buffer until the link has taken it, so more would cost a
-/// large policy's size each; the next one follows when a copy has left.
+/// Maximum number of concurrent policy transfers. Each holds a copy of the text
+/// in its link's output buffer until it is sent, which costs the size of a
+/// large policy. The next transfer starts when one has finished.
 constexpr std::uint32_t kMaxPolicyTransfers = 2;
-/// Nodes of the dialect before get the policy pushed, only after this time:
-/// most have it from its source by then.
+/// Delay before the policy is pushed to nodes below kVersionPolicyPull, most of
+/// which have read it from the source by then, and the interval at which the
+/// push is repeated.
 constexpr Millis kPushDelay{250};
 constexpr Millis kPushInterval{1000};
 
@@ -87,8 +88,8 @@
   const PeerPointer asked = this->policy_requested_from.lock();
   const bool is_awaited = asked != nullptr && asked->IsReachable() &&
                           now - this->policy_requested_at < rules.answer_wait;
-  // The others most likely have the same text, and each question costs all of
-  // it.
+  // The other nodes most likely have the same unusable text, and each request
+  // transfers all of it.
   const bool is_unread = this->policy_unusable_at != Millis{0} &&
                          now - this->policy_unusable_at < rules.unread_wait;
   if (is_awaited || is_unread) {
@@ -111,7 +112,7 @@
       rules, own, offers, now - this->newer_version_since, draw);
   if (!choice.has_value()) {
     if (now - this->newer_version_since >= rules.elsewhere_wait) {
-      // All were asked in vain: from the beginning.
+      // All nodes were asked without success: start again.
       for (const PeerPointer& peer : this->peers) {
         peer->requested_version = 0;
       }
@@ -133,7 +134,7 @@
     return false;
   }
   if (!peer->has_reported) {
-    // Its state comes first.
+    // Ignored before the first state.
     return true;
   }
   peer->reported.policy_version = version;
@@ -141,9 +142,10 @@
   return true;
 }
 
-/// `peer`: the node that was asked; null for one that pushes.
+/// `peer`: the node that the policy may have been requested from; null if the
+/// policy was pushed on an accepted link.
 bool PeerTable::OnPolicy(const PeerPointer& peer, std::string_view payload) {
-  // Its text stands behind four bytes of length.
+  // The text follows its four-byte length.
   constexpr std::size_t kLengthBytes = 4;
   const bool was_asked =
       peer != nullptr && peer == this->policy_requested_from.lock();
@@ -195,8 +197,8 @@
   }
 }
 
-/// Only the number of the policy changed: those who know the rest are told just
-/// that, a tenth of a state.
+/// Announces a state of which only the policy version has changed. Nodes that
+/// have the rest receive just the version, a tenth of a state.
 void PeerTable::AnnouncePolicyVersion() {
   std::string frame;
   AppendPolicyVersion(this->self->reported.policy_version, frame);
@@ -251,7 +253,7 @@
     return;
   }
   if (peer->policy_pushed_at == Millis{0}) {
-    // A node that knows none needs it at once.
+    // A node without a policy needs it at once.
     const bool is_empty = peer->reported.policy_version == 0;
     peer->policy_pushed_at =
         is_empty ? now - kPushInterval : now - kPushInterval + kPushDelay;
--- a/libs/relay/src/peer_state.cc
+++ b/libs/relay/src/peer_state.cc
@@ -5,19 +5,20 @@
 #include "almondlink/base/event_log.h"
 #include "almondlink/relay/peer_table.h"
 
-/// What nodes say to each other besides calls: who they are, their state and
-/// load. PeerTable is in three units: peer_table.cc holds links, peer_policy.cc
-/// passes the policy.
+/// Exchange of identity, state and load between nodes. PeerTable is implemented
+/// in three files: this one, peer_table.cc (links) and peer_policy.cc
+/// (distribution of the policy).
 namespace almondlink::relay {
 
 namespace {
 
-/// Instances remembered for each peer.
+/// Maximum number of draining instances that are kept for each peer.
 constexpr std::size_t kMaxDrainingInstances = 16;
-/// Other nodes named in a hello. A node gets one from each that it meets, so it
-/// soon knows all: with n nodes it needs about log(n) of them.
+/// Maximum number of other nodes named in a hello. A node receives a hello from
+/// each node that it meets, so it learns all n nodes after about log(n) of
+/// them.
 constexpr std::size_t kMaxNodesInHello = 16;
-/// The calls of chains are told again after this, for whoever missed a load.
+/// Call chains are sent again after this time, for nodes that missed a load.
 constexpr Millis kChainsInterval{3000};
 
 void ClearChains(std::vector<control::RootRate>& roots) {
@@ -28,7 +29,8 @@
 
 }  // namespace
 
-/// Another start of the node speaks: what the one before told is kept for it.
+/// Sets the peer's incarnation. If it has restarted, keeps what its previous
+/// incarnation reported, to return it in a hello.
 void PeerTable::UpdateIncarnation(std::uint64_t incarnation, Peer& peer) {
   if (peer.node.incarnation != 0 && peer.node.incarnation != incarnation) {
     peer.previous_incarnation = peer.node.incarnation;
@@ -37,8 +39,9 @@
   peer.node.incarnation = incarnation;
 }
 
-/// Whom to name to `to`: a few, drawn anew each time. All of them from each to
-/// each would be the cube of the number of nodes at every start.
+/// Returns a random sample of the known nodes to name to the node `to`. If
+/// every node sent all of them to every other, the traffic at each start would
+/// grow with the cube of the number of nodes.
 std::vector<NodeAddress> PeerTable::SampleNodes(const std::string& to) {
   std::vector<NodeAddress> known;
   for (const PeerPointer& peer : this->peers) {
@@ -70,7 +73,8 @@
     const Peer& peer = **receiver;
     hello.known_incarnation = peer.node.incarnation;
     hello.previous_incarnation = peer.previous_incarnation;
-    // Its last word, if no later start of it has spoken yet.
+    // If no later incarnation of it has reported, its last report is the
+    // previous one.
     hello.previous_repeats = peer.previous_incarnation != 0
                                  ? peer.previous_repeats
                              : peer.has_reported ? std::vector<ServiceRepeats>()
@@ -80,11 +84,12 @@
   link.ScheduleFlush();
 }
 
-/// True if this start took a later number because of what the sender knows.
+/// Returns true if this node raised its incarnation because the sender knows a
+/// later one.
 bool PeerTable::OnHello(const HelloFrame& hello) {
   const bool is_raised = hello.known_incarnation > this->self->node.incarnation;
   if (is_raised) {
-    // The clock went back between the last start and this one.
+    // The clock went back between the previous start and this one.
     this->SetIncarnation(hello.known_incarnation + 1);
     this->events.on_incarnation_changed(this->self->node.incarnation);
   }
@@ -105,9 +110,9 @@
   return is_raised;
 }
 
-/// A peer whose frames cannot be decoded is not understood any more: what
-/// follows could be taken for something else, and an answer that was passed
-/// over would leave its call waiting for its whole time.
+/// Closes the link of a peer whose frames cannot be decoded: later frames could
+/// be misread, and a skipped answer would leave its call waiting until the
+/// deadline.
 void PeerTable::OnAcceptedFrame(const PeerLinkPointer& link,
                                 const RawFrame& frame) {
   if (this->HandleAcceptedFrame(link, frame)) {
@@ -128,7 +133,7 @@
     case FrameType::kHello:
       return this->OnAcceptedHello(link, frame.payload);
     case FrameType::kPolicy:
-      // From a node of the dialect before; others are asked.
+      // Pushed by a node below kVersionPolicyPull; from others it is requested.
       return this->OnPolicy(nullptr, frame.payload);
     case FrameType::kPolicyRequest:
       return this->OnPolicyRequest(link, frame.payload);
@@ -205,13 +210,14 @@
     return false;
   }
   if (hello.self.name != peer->node.name) {
-    // The address belongs to another node now.
+    // Another node has this address now.
     peer->node = hello.self;
   }
   UpdateIncarnation(hello.self.incarnation, *peer);
   peer->protocol_version = hello.protocol_version;
   if (this->OnHello(hello)) {
-    // It takes this start for an earlier one until it hears the number.
+    // The peer takes this node for an earlier incarnation until it receives the
+    // new number.
     this->SendHello(*peer->link, peer->node.name);
   }
   return true;
@@ -235,7 +241,7 @@
     this->by_service.clear();
   }
   if (is_new_incarnation) {
-    // What was seen of the instance before says nothing of this one.
+    // Health observations of the previous instance do not apply to this one.
     peer->health = control::TargetHealth();
   }
   this->RecordDrainingInstance(peer);
@@ -244,7 +250,8 @@
   return true;
 }
 
-/// What a peer tells of an instance that leaves is kept for it over a restart.
+/// Records a peer's draining instance, so that the peer can restore this state
+/// after a restart.
 void PeerTable::RecordDrainingInstance(const PeerPointer& peer) {
   if (peer->reported.state != InstanceState::kDraining) {
     return;
@@ -278,7 +285,7 @@
     return false;
   }
   if (!peer->has_reported) {
-    // Its state comes first; without one a load says nothing.
+    // A load is meaningful only after the first state.
     return true;
   }
   ApplyLoad(std::move(load), peer->reported);
@@ -287,8 +294,8 @@
   return true;
 }
 
-/// The load, with the calls of chains only when they have moved or were not
-/// told for long: they are structure, and would be a third of it.
+/// Builds a load for all links. Call chains change slowly and would be a third
+/// of it, so they are included only after a change or after kChainsInterval.
 LoadFrame PeerTable::MakeLoadFrame(const StateFrame& state) {
   const Millis now = BootTimeNow();
   LoadFrame load = LoadOf(state);
@@ -302,7 +309,7 @@
   return load;
 }
 
-/// Tells all that has changed for this link.
+/// Sends the state on this link, or only the load if nothing else has changed.
 void PeerTable::SendState(AcceptedLink& entry) {
   const StateFrame state = this->events.make_state();
   const bool is_load_only = entry.protocol_version >= kVersionLoadFrames &&
@@ -314,7 +321,8 @@
     Append(load, entry.link->OutputBuffer());
   } else {
     Append(state, entry.link->OutputBuffer());
-    // Facts that are not counted yet are told again by TellNow.
+    // Changes not yet counted in `state_revision` are sent again by
+    // AnnounceState().
     entry.announced_revision = this->state_revision;
   }
   entry.link->ScheduleFlush();
--- a/libs/relay/src/peer_state_frames.cc
+++ b/libs/relay/src/peer_state_frames.cc
@@ -5,7 +5,7 @@
 #include "almondlink/relay/peer_frames.h"
 #include "frame_codec.h"
 
-/// Frames in which nodes tell who they are and how they are.
+/// Frames that carry the identity, state and load of nodes.
 namespace almondlink::relay {
 
 namespace {
@@ -21,7 +21,7 @@
   }
 }
 
-/// An older node says nothing of them.
+/// Older nodes do not send them.
 void TakeRepeats(Reader& in, std::vector<ServiceRepeats>& repeats) {
   repeats.clear();
   if (in.IsAtEnd()) {
@@ -37,7 +37,7 @@
   }
 }
 
-/// The calls of chains, of the routes that have some.
+/// Writes the call chains of the routes that have any.
 void PutCalls(const std::vector<control::RootRate>& roots, Writer& writer) {
   writer.PutVarint(static_cast<std::uint64_t>(std::count_if(
       roots.begin(), roots.end(),
@@ -55,7 +55,7 @@
   }
 }
 
-/// An older node says nothing of them.
+/// Older nodes do not send them.
 void TakeCalls(Reader& in, std::vector<control::RootRate>& roots) {
   const std::size_t count = in.IsAtEnd() ? 0 : in.TakeVarintCount();
   for (std::size_t i = 0; i < count && in.IsGood(); ++i) {
@@ -123,7 +123,7 @@
     record.state = static_cast<InstanceState>(in.TakeByte());
     record.started_at = 0;
   }
-  // An older node says nothing of it.
+  // Older nodes do not send these fields.
   frame.protocol_version = 0;
   frame.known_incarnation = 0;
   if (!in.IsAtEnd()) {
@@ -311,7 +311,7 @@
     entry.offered_per_s = in.TakeFraction();
     entry.let_in_per_s = in.TakeFraction();
   }
-  // An older node says nothing of it.
+  // Older nodes do not send it.
   frame.started_at = 0;
   if (!in.IsAtEnd()) {
     in.Take(frame.started_at);
--- a/libs/relay/src/peer_table.cc
+++ b/libs/relay/src/peer_table.cc
@@ -14,26 +14,28 @@
 namespace {
 
 constexpr int kBacklog = 256;
-/// Time until it is tried again to accept while no descriptor is free.
+/// Delay before accepting again after descriptors ran out.
 constexpr std::chrono::milliseconds kAcceptPause{100};
-/// State is told this often while the target works, and otherwise.
+/// Interval of state reports while the target works, and while it is idle.
 constexpr Millis kBusyReportInterval{200};
 constexpr Millis kIdleReportInterval{1000};
-/// A busy node tells at most one state in so many milliseconds, over all links:
-/// with many nodes each link gets one less often.
+/// A busy node sends at most one report in this many milliseconds over all
+/// links, so with many nodes each link gets fewer reports.
 constexpr std::int64_t kReportMillisPerLink = 3;
-/// Silence after which a link is given up: two states of an idle node missed.
+/// Silence after which a link is closed: two reports of an idle node were
+/// missed.
 constexpr Millis kLinkTimeout{2200};
-/// A tick that comes this late means that the host was suspended or starved.
+/// A tick that is this late means that the host was suspended or the process
+/// got no CPU time.
 constexpr Millis kSuspensionGap{1000};
 constexpr Millis kDialTimeout{1000};
 constexpr Millis kMinDialBackoff{100};
 constexpr Millis kMaxDialBackoff{2000};
-/// A node that could not be reached for so long is no longer dialled; it dials
-/// us when it comes back.
+/// A node that was unreachable for this long is removed and no longer dialled;
+/// it dials this node when it returns.
 constexpr Millis kRemoveAfter{60'000};
-/// A node that was not reached for so long counts as gone rather than cut off:
-/// as long as the parts of a network were seen to lose each other, twice over.
+/// A node that was unreachable for this long counts as ended rather than
+/// partitioned: twice the observed duration of network partitions.
 constexpr Millis kMaxPartitionTime{30'000};
 
 }  // namespace
@@ -139,7 +141,8 @@
   if (peer->is_self || node.incarnation <= peer->node.incarnation) {
     return false;
   }
-  // Started anew: what is known of the one before no longer holds.
+  // The node has restarted; what is known of the previous incarnation no longer
+  // holds.
   UpdateIncarnation(node.incarnation, *peer);
   peer->node = node;
   peer->next_dial = Millis{0};
@@ -275,8 +278,9 @@
   }
 }
 
-/// A node that is asked and says nothing is not sent more; it may only stand
-/// still, so the link stays for a while.
+/// Pings a silent peer and marks it as suspect if it does not answer. A suspect
+/// gets no more calls, but its link is kept for a while, since the node may
+/// only be suspended.
 void PeerTable::CheckSilence(Millis now, const PeerPointer& peer) {
   const Millis heard = peer->link->LastReceived();
   const std::uint32_t answers_due = peer->last_query_at > heard ? 1 : 0;
@@ -309,7 +313,8 @@
 
 void PeerTable::Tick(Millis now) {
   if (now - this->last_tick > kSuspensionGap) {
-    // This host stood still; what arrived meanwhile is still to be read.
+    // This host was suspended; frames that arrived meanwhile have yet to be
+    // read.
     this->silence_tolerated_until = now + kLinkTimeout;
   }
   this->last_tick = now;
--- a/libs/relay/src/quarantine_exchange.cc
+++ b/libs/relay/src/quarantine_exchange.cc
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// A trial is asked for again after this, by the node that waits for it.
+/// Interval at which a node with a waiting request repeats its trial request.
 constexpr Millis kRequestInterval{50};
-/// A trial whose node says nothing more counts as over so long after its
-/// caller's time.
+/// A trial whose node does not report its end expires this long after its
+/// caller's deadline.
 constexpr Millis kTrialTimeoutMargin{500};
 
-/// Whether the node permits trials.
+/// Whether the node can be a trial coordinator.
 bool CanCoordinate(const Peer& peer) {
   return !peer.reported.is_stopping && peer.IsReachable() &&
          (peer.is_self ||
@@ -51,9 +51,9 @@
 
 void QuarantineExchange::SetConfirmationHandlers(
     std::function<void(const control::RequestDigest&,
-                       const control::BlameRecord&)> on_guilty_in,
+                       const control::BlameRecord&)> on_confirmed_in,
     std::function<void(const control::RequestDigest&)> on_cleared_in) {
-  this->on_confirmed = std::move(on_guilty_in);
+  this->on_confirmed = std::move(on_confirmed_in);
   this->on_cleared = std::move(on_cleared_in);
 }
 
@@ -156,11 +156,11 @@
       control::NoteWholeRun(Rules(), now, update.digest, this->table);
       continue;
     }
-    control::BlameRecord told;
-    told.starts = update.crashed_incarnations;
-    told.failed_trials = update.failed_trials;
-    told.last_end = now - update.age;
-    control::MergeBlame(Rules(), now, update.digest, told, this->table);
+    control::BlameRecord received;
+    received.starts = update.crashed_incarnations;
+    received.failed_trials = update.failed_trials;
+    received.last_end = now - update.age;
+    control::MergeBlame(Rules(), now, update.digest, received, this->table);
   }
 }
 
@@ -197,7 +197,8 @@
   return coordinator;
 }
 
-/// Name of the node whose target may run the trial; empty if it must wait.
+/// Returns the name of the node whose target may run the trial; empty if the
+/// trial must wait.
 std::string QuarantineExchange::GrantTrial(const control::RequestDigest& digest,
                                            const std::string& service,
                                            Millis left,
--- a/libs/relay/src/quarantine_frames.cc
+++ b/libs/relay/src/quarantine_frames.cc
@@ -1,7 +1,7 @@
 #include "almondlink/relay/peer_frames.h"
 #include "frame_codec.h"
 
-/// Frames of requests that targets ended under.
+/// Frames about requests that crashed targets.
 namespace almondlink::relay {
 
 namespace {
--- a/libs/relay/src/quota_exchange.cc
+++ b/libs/relay/src/quota_exchange.cc
@@ -10,29 +10,30 @@
 
 namespace {
 
-/// A node that has just started may not know most others yet, and would take
-/// itself for the lender of accounts that are not its own: it lends nothing
-/// before. Links are there within some two hundred milliseconds; those who
-/// start with it may be as much later again.
+/// A node that has just started may not know most others yet and would take
+/// itself for the lender of their accounts, so it does not lend before
+/// `kLendDelay`. Links are established within about 200 ms; nodes that start
+/// together may differ by as much again, hence `kStartupTime`.
 constexpr Millis kLendDelay{250};
 constexpr Millis kStartupTime{1000};
-/// A tick that comes this late means that the host stood still, and others may
-/// lend in its place: they suspect it after 0.7 s.
+/// A tick that is this late means that the host was suspended. Others may lend
+/// in its place meanwhile: they suspect it after 0.7 s.
 constexpr Millis kSuspensionGap{600};
 
 control::QuotaLimit LimitOf(const policy::ClientAccount& account) {
   return {account.limit.per_s, account.limit.burst};
 }
 
-/// Whether calls and asks reach the node and it knows of loans. One that is
-/// about to stop hands its accounts over.
+/// Whether the node can be a lender: it is reachable and supports loans. A
+/// stopping node hands its accounts over.
 bool CanLend(const Peer& peer) {
   return !peer.reported.is_stopping && peer.IsReachable() &&
          (peer.is_self ||
           (!peer.is_suspect && peer.protocol_version >= kVersionQuotaLending));
 }
 
-/// Rank of a node among the lenders of an account: the highest one lends.
+/// Rank of a node as lender of an account. The node with the highest rank
+/// lends.
 std::uint64_t RankOf(const Peer& peer, policy::AccountKey account) {
   return StableHash(peer.node.name, account.Value());
 }
@@ -93,7 +94,7 @@
   control::QuotaPurse& purse = this->purses[account.key.Value()];
   const control::QuotaAnswer answer = control::TakeQuota(now, purse);
   if (answer == control::QuotaAnswer::kTaken) {
-    // Ahead of need.
+    // Refills the stock before it is used up.
     this->RequestTokens(account, 0, now);
   }
   return answer;
@@ -174,14 +175,14 @@
   answer.is_lender =
       known != nullptr && this->IsSettled(now) && lender->is_self;
   if (!answer.is_lender) {
-    // Who asks here may have found the other one silent: it is looked at from
-    // here too, within a tenth of a second.
+    // The requesting node may have found the other lender silent. Checking it
+    // from here too detects that within a tenth of a second.
     lender->last_query_at = now;
     return answer;
   }
   const control::QuotaLimit limit = LimitOf(*known);
   if (limit.per_s <= 0) {
-    // The limit was taken away by a version that the asking node lacks.
+    // A newer policy, which the requesting node lacks, has removed the limit.
     answer.loan.granted = wanted;
     return answer;
   }
@@ -213,7 +214,7 @@
 
 void QuotaExchange::OnLoan(const QuotaLoanFrame& frame) {
   const auto purse = this->purses.find(frame.account);
-  // Without a lender the ask stays out, as one that is not answered.
+  // If that node is not the lender, the request counts as unanswered.
   if (purse == this->purses.end() || !frame.is_lender) {
     return;
   }
@@ -221,7 +222,8 @@
   this->on_tokens(policy::AccountKey(frame.account));
 }
 
-/// After this host stood still: others have lent in its place.
+/// Discards the buckets after a suspension of this host, since others have lent
+/// in its place.
 void QuotaExchange::ResetAfterSuspension(Millis now) {
   if (now - this->last_tick > kSuspensionGap) {
     this->buckets.clear();
@@ -233,7 +235,7 @@
   this->ResetAfterSuspension(now);
   std::uint64_t set_hash = 0;
   for (const PeerPointer& peer : this->peers.All()) {
-    // The order of the nodes does not matter.
+    // A sum, so that the order of the nodes does not matter.
     set_hash += CanLend(*peer) ? StableHash(peer->node.name) : 0;
   }
   if (set_hash != this->lender_set_hash) {
--- a/libs/relay/src/relay_node.cc
+++ b/libs/relay/src/relay_node.cc
@@ -11,22 +11,25 @@
 
 namespace {
 
-/// Time-outs are looked for this often; the shortest that matters is ten times
-/// as long.
+/// Interval of timeout checks; the shortest relevant timeout is ten times as
+/// long.
 constexpr std::chrono::milliseconds kTickInterval{50};
-/// Ticks between two looks at peers and admission, and at idle connections.
+/// Ticks between updates of peers and admission, and between checks of idle
+/// caller connections.
 constexpr std::uint32_t kPeerTicks = 2;
 constexpr std::uint32_t kIdleTicks = 10;
-/// Longest wait for another node to confirm that it knows of a leave.
+/// Maximum wait for another node to confirm that it has recorded a leave.
 constexpr Millis kConfirmWait{300};
-/// After the stop signal callers still arrive until two of their once-a-second
-/// checks have failed; the target goes on serving for most of that time.
+/// Callers keep connecting after the stop signal until two of their health
+/// checks, one a second, have failed. The target keeps serving for most of that
+/// time; then the stop is announced to other nodes.
 constexpr Millis kCallerDrainTime{2600};
 constexpr Millis kStopAnnounceDelay{1800};
-/// A change of the part of its target's answers that are failures is told at
-/// once: others send it a third of their load by mistake until they know.
+/// A change of the target's error rate by more than this is reported at once:
+/// other nodes direct up to a third of their load to a failing target until
+/// they know.
 constexpr double kMinReportedErrorChange = 0.3;
-/// Time before the end that is forced in which open calls get an answer.
+/// Time before the forced end in which open calls are answered.
 constexpr Millis kFinalAnswerTime{400};
 
 }  // namespace
@@ -306,7 +309,8 @@
   std::vector<PendingAck> open;
   open.swap(this->pending_acks);
   for (PendingAck& pending : open) {
-    // A node that does not tell the start means the current one.
+    // An older node that does not report the start time means the current
+    // instance.
     const bool is_confirmed =
         confirmed.has_value() &&
         pending.report.sequence <= confirmed->sequence &&
@@ -395,7 +399,7 @@
            {{"open_requests", std::to_string(this->entry.OpenCalls())},
             {"running", std::to_string(this->served.Running())}});
   this->callers.StartClosing();
-  // Others read the source of the policy in its place from now on.
+  // Other nodes poll the policy source in its place from now on.
   this->peers.AnnounceState();
 }
 
--- a/libs/relay/src/served_call.h
+++ b/libs/relay/src/served_call.h
@@ -7,9 +7,9 @@
 
 namespace almondlink::relay {
 
-/// One call for the target beside this node, from its arrival to its outcome.
-/// ServedCalls is in two units: served_calls.cc (who runs, who waits, what came
-/// of it) and served_ends.cc (targets whose process ends).
+/// A call for the target beside this node, from its arrival to its outcome.
+/// ServedCalls is implemented in served_calls.cc (queueing, dispatch and
+/// outcomes) and served_crashes.cc (crashes of the target's process).
 struct ServedCalls::Call {
   LinkId link = 0;
   std::uint32_t id = 0;
@@ -18,9 +18,10 @@
   bool is_repeatable = false;
   bool is_running = false;
   bool is_answering = false;
-  /// Nobody waits for the answer any more.
+  /// The caller no longer waits for the answer.
   bool is_abandoned = false;
-  /// This host stood still while it ran; its time says nothing of the target.
+  /// The host was suspended while the call ran, so its duration says nothing
+  /// about the target.
   bool spans_suspension = false;
   Millis arrived;
   Millis wait_until;
@@ -30,7 +31,7 @@
   std::string request_head;
   std::string caller_service;
   std::string body;
-  /// What ran for the calls that it made.
+  /// Runs that its own calls caused.
   control::CallCounts run_counts;
   TargetExchange exchange;
 };
--- a/libs/relay/src/served_calls.cc
+++ b/libs/relay/src/served_calls.cc
@@ -11,23 +11,25 @@
 
 namespace {
 
-/// Part of the drain time within which late calls still reach a leaving
-/// instance: entry nodes know of it within milliseconds, and the rest is for
-/// timers and a host that is slow.
+/// Share of the drain time in which late calls still reach a draining instance.
+/// Entry nodes learn of the drain within milliseconds; the rest allows for
+/// timers and a slow host.
 constexpr double kDrainShare = 0.6;
-/// Calls that may wait, in multiples of the slots; what is beyond could not be
-/// served within a deadline of twenty times the work.
+/// Maximum number of queued calls, in multiples of the slots. A longer queue
+/// could not be served within a deadline of twenty times the run time.
 constexpr std::uint32_t kQueuePerSlot = 8;
 constexpr std::uint32_t kMinQueueLimit = 64;
-/// A call whose time left is below this would be cut at the target at once.
+/// A call with less remaining time than this would be cut off at the target at
+/// once.
 constexpr Millis kMinRemaining{5};
-/// A sweep that comes this late means that the host was suspended or starved.
+/// A sweep that is this late means that the host was suspended or the process
+/// got no CPU time.
 constexpr Millis kSuspensionGap{500};
 constexpr double kMicrosPerMilli = 1000;
 constexpr std::uint32_t kMisdirected = 421;
 constexpr std::uint32_t kServerError = 500;
-/// The target's own answer at the deadline: its time was too short, or what it
-/// calls is slow.
+/// The target's own answer at the deadline: the remaining time was too short,
+/// or a service that it calls is slow. Not counted as a failure of the target.
 constexpr std::uint32_t kGatewayTimeout = 504;
 
 }  // namespace
@@ -186,7 +188,7 @@
       this->pool.Send(now, std::move(request), std::move(target_events));
 }
 
-/// What the target is sent; takes the call's bytes.
+/// Builds the request to the target. Moves the head and body out of `call`.
 TargetRequest ServedCalls::MakeRequest(Call& call, Millis left) const {
   TargetRequest request;
   request.id = call.request_id;
@@ -234,7 +236,7 @@
         head.status >= kServerError && head.status != kGatewayTimeout;
     control::NoteAnswer(BootTimeNow(), is_error, this->errors);
     if (!is_error) {
-      // How quickly a target fails says nothing of its work.
+      // The time to an error says nothing about the duration of the work.
       this->RecordWorkTime(*call, work);
     }
     answer.run_counts = call->run_counts;
@@ -277,7 +279,7 @@
   }
 }
 
-/// Forgets a call that ran or waited.
+/// Removes a running or queued call.
 void ServedCalls::EndRun(const CallPointer& call) {
   this->queue.erase(call->order);
   this->calls.erase(CallKey{call->link, call->id});
@@ -296,7 +298,7 @@
   this->SendOutcome(call, CallOutcome::kNotSent, reason);
 }
 
-/// How the target is, with each answer.
+/// Adds the target's current load to an answer.
 void ServedCalls::SetLoad(AnswerFrame& answer) const {
   answer.running = this->Running();
   answer.waiting = this->Waiting();
@@ -329,7 +331,8 @@
   const CallPointer call = found->second;
   ++this->counters.cancelled;
   if (call->is_running && !call->is_repeatable) {
-    // Work that may run once is finished; cutting it would leave it half done.
+    // A request that must not run twice is allowed to finish; aborting it could
+    // leave its work incomplete.
     call->is_abandoned = true;
     return;
   }
@@ -370,7 +373,8 @@
                        effect != control::ReportEffect::kRefused;
   this->is_target_gone = this->is_target_gone && !is_back;
   if (before != current) {
-    // Connections to the one before must not carry requests for this one.
+    // Connections to the previous instance must not carry requests for this
+    // one.
     this->pool.CloseIdle();
     control::ForgetWork(this->meter);
     this->errors = control::ErrorShare();
@@ -391,7 +395,7 @@
   return control::RememberLeft(BootTimeNow(), start, this->ledger);
 }
 
-/// Takes the time of a call, unless this host stood still while it ran.
+/// Records the duration of a call, unless the host was suspended while it ran.
 void ServedCalls::RecordWorkTime(const Call& call, LatencyMs work) {
   if (!call.spans_suspension) {
     control::NoteWork(call.info.root_route, BootTimeNow(), work, this->meter);
--- a/libs/relay/src/served_crashes.cc
+++ b/libs/relay/src/served_crashes.cc
@@ -4,21 +4,22 @@
 
 #include "served_call.h"
 
-/// Targets whose process ends: how that is found out, and who is told.
+/// Detection of crashes of the target's process, and reports of them to the
+/// senders of the affected calls.
 namespace almondlink::relay {
 
 namespace {
 
-/// A target that ends under a call does so within moments; calls that were
-/// cancelled while they ran are remembered for so long, and so many of them.
+/// A call that crashes the target does so within moments. Calls that were
+/// cancelled while they ran are kept for this long, up to this number.
 constexpr Millis kCancelledRetention{500};
 constexpr std::size_t kMaxCancelled = 128;
 
 }  // namespace
 
-/// The target closed the connection of a call that it had begun. Whether its
-/// process is gone is found out before anybody acts on it: sent again at once,
-/// a request that ends its target would end the next one.
+/// The target closed the connection of a running call. Before any further
+/// action it is checked whether its process has crashed: a query of death that
+/// is repeated at once would crash the next target.
 void ServedCalls::OnConnectionLost(const CallPointer& call) {
   this->awaiting_crash_check.push_back(call);
   this->StartCrashCheck();
@@ -27,38 +28,39 @@
 void ServedCalls::StartCrashCheck() {
   if (!this->is_checking_crash) {
     this->is_checking_crash = true;
-    this->pool.CheckProcessGone(
-        [this](bool is_refused) { this->FinishCrashCheck(is_refused); });
+    this->pool.CheckProcessGone([this](bool is_connect_refused) {
+      this->FinishCrashCheck(is_connect_refused);
+    });
   }
 }
 
-/// Whether the target's process is gone. One that is full may refuse a connect
-/// as well, but goes on with what it has. One that leaves ends as it said it
-/// would.
-bool ServedCalls::IsCrash(bool is_refused) const {
+/// Whether the target's process has crashed. A refused connection alone is no
+/// proof, since an overloaded target may refuse new connections while it
+/// continues its running calls. A draining target that ends is not a crash.
+bool ServedCalls::IsCrash(bool is_connect_refused) const {
   const auto alive = std::count_if(
       this->runs.begin(), this->runs.end(), [this](const auto& run) {
         return std::find(this->awaiting_crash_check.begin(),
                          this->awaiting_crash_check.end(),
                          run.second) == this->awaiting_crash_check.end();
       });
-  return is_refused && alive == 0 && !this->pool.HasOpenIdle() &&
+  return is_connect_refused && alive == 0 && !this->pool.HasOpenIdle() &&
          this->ledger.phase == control::InstancePhase::kReady;
 }
 
-void ServedCalls::FinishCrashCheck(bool is_refused) {
+void ServedCalls::FinishCrashCheck(bool is_connect_refused) {
   this->is_checking_crash = false;
-  const bool has_crashed = this->IsCrash(is_refused);
+  const bool has_crashed = this->IsCrash(is_connect_refused);
   std::vector<CallPointer> broken;
   broken.swap(this->awaiting_crash_check);
   if (has_crashed && !this->is_target_gone) {
-    // Told first, so that nothing is sent here for want of better knowledge.
+    // Reported first, so that other nodes stop sending calls here.
     this->is_target_gone = true;
     ++this->counters.target_crashes;
     this->events.on_target_crashed(this->ledger.current.start, broken.size());
   }
   for (const CallPointer& call : broken) {
-    // Meanwhile it may have been given up, or its time was over.
+    // It may have been cancelled or timed out meanwhile.
     if (!call->is_running) {
       continue;
     }
@@ -77,15 +79,14 @@
   this->FillSlots(BootTimeNow());
 }
 
-/// Ends an answer of which its caller has got a part.
-void ServedCalls::EndPartialAnswer(const CallPointer& call,
-                                   bool is_target_ended) {
+/// Ends an answer of which the caller has received a part.
+void ServedCalls::EndPartialAnswer(const CallPointer& call, bool is_crash) {
   DataFrame end;
   end.id = call->id;
   end.is_last = true;
   end.is_broken = true;
-  end.is_target_crashed = is_target_ended;
-  if (!call->is_abandoned || is_target_ended) {
+  end.is_target_crashed = is_crash;
+  if (!call->is_abandoned || is_crash) {
     this->events.on_part(call->link, end);
   }
 }
@@ -97,8 +98,8 @@
   }
 }
 
-/// The entry nodes of calls that were cancelled just before the target's end
-/// still have to know what ran.
+/// Reports the crash for recently cancelled calls: their entry nodes record
+/// which requests were running.
 void ServedCalls::ReportCancelled() {
   const Millis now = BootTimeNow();
   for (const CancelledCall& call : this->recently_cancelled) {
@@ -114,7 +115,8 @@
   this->recently_cancelled.clear();
 }
 
-/// Nothing that ran at the start before will be answered: it may have run.
+/// Fails all running calls as possibly executed: the previous incarnation of
+/// the target will not answer them.
 void ServedCalls::EndRunsOfPreviousIncarnation() {
   std::vector<CallPointer> lost;
   for (const auto& [id, call] : this->runs) {
--- a/libs/relay/src/shared_read.cc
+++ b/libs/relay/src/shared_read.cc
@@ -7,8 +7,7 @@
 
 namespace {
 
-/// One read takes a whole request or answer of the usual size, or a batch of
-/// frames.
+/// Holds a complete request or answer of the usual size, or a batch of frames.
 constexpr std::size_t kBufferSize = 16 * 1024;
 
 }  // namespace
--- a/libs/relay/src/shared_read.h
+++ b/libs/relay/src/shared_read.h
@@ -5,22 +5,23 @@
 #include <string_view>
 #include <utility>
 
-/// Reading without a buffer for each connection.
+/// Socket reads without a buffer for each connection.
 ///
-/// A node holds thousands of connections that say nothing most of the time; a
-/// buffer in each was half of its memory. So a connection only waits until it
-/// can be read, and all connections of a thread read into one buffer, whose
-/// content is taken before the next read. That costs one more call of the
-/// kernel for each read, and a larger buffer saves some.
+/// A node holds thousands of mostly idle connections, and a read buffer in each
+/// of them took half of its memory. So a connection only waits until it is
+/// readable, and all connections of a thread read into one buffer, whose
+/// content is consumed before the next read. This costs one more system call
+/// for each read; the larger buffer saves some.
 namespace almondlink::relay {
 
-/// Reads once into the thread's buffer; the view is valid until the next read
-/// of this thread. Precondition: `socket` does not block.
+/// Reads once into the thread's buffer. The view is valid until the next read
+/// on this thread. Precondition: `socket` is non-blocking.
 std::string_view ReadNow(boost::asio::ip::tcp::socket& socket,
                          boost::system::error_code& error);
 
-/// Waits until `socket` can be read, reads once, and calls `handler(error,
-/// bytes)` from the loop. `handler` must keep the owner of `socket` alive.
+/// Waits until `socket` is readable, reads once and calls `handler(error,
+/// bytes)` from the event loop. `handler` must keep the owner of `socket`
+/// alive.
 template <typename Handler>
 void ReadShared(boost::asio::ip::tcp::socket& socket, Handler handler) {
   socket.async_wait(boost::asio::ip::tcp::socket::wait_read,
--- a/libs/relay/src/target_connection.cc
+++ b/libs/relay/src/target_connection.cc
@@ -12,16 +12,19 @@
 
 namespace {
 
-/// Answers up to this size are handed on whole, so that one that is cut short
-/// can be asked for again before its caller has seen any of it.
+/// Answers up to this size are passed on only when complete, so that the
+/// request of a truncated one can be repeated before its caller has received
+/// any part.
 constexpr std::size_t kMaxBufferedAnswer = 256 * 1024;
-/// Bytes of a long answer on their way to the caller; above it reading stops.
+/// Bytes of a long answer that may be unconsumed; above this, reading pauses.
 constexpr std::size_t kStreamWindow = 256 * 1024;
 constexpr Millis kConnectTimeout{1000};
-/// A connection to the same host that acknowledges nothing for so long is gone.
+/// A connection on the same host that acknowledges nothing for this long is
+/// broken.
 constexpr Millis kAckTimeout{1000};
-/// Idle time if the target states none, and the part of a stated one that is
-/// used: the target must not close while a request is on its way.
+/// Idle time of connections if the target states none in Keep-Alive, and the
+/// margin subtracted from a stated one: the target must not close a connection
+/// while a request is being sent on it.
 constexpr Millis kDefaultIdleTime{3000};
 constexpr std::int64_t kIdleMargin = 1500;
 constexpr std::int64_t kMillisPerSecond = 1000;
@@ -107,7 +110,7 @@
       return;
     }
     if (error) {
-      // The answer may still be there to be read; reading tells the end.
+      // The answer may still be readable; the read detects the end.
       return;
     }
   }
@@ -134,7 +137,7 @@
     return;
   }
   if (!this->is_busy) {
-    // Closed while idle, or bytes that belong to no request.
+    // Closed while idle, or received bytes that belong to no request.
     this->Close();
     return;
   }
@@ -173,7 +176,8 @@
         this->Fail(CallReason::kBadAnswer);
         return;
       }
-      // An answer of an earlier request may come late; ours can follow it.
+      // This may be the late answer to an earlier request; the one to this
+      // request can follow it.
       this->has_skipped_answer = this->has_skipped_answer || has_other_id;
       this->parser.emplace(this->names);
       this->parser->skip(this->request.is_head_method);
@@ -237,8 +241,9 @@
 }
 
 void TargetConnection::Complete() {
-  // A refusal may come without the id. A second one could not be told from the
-  // answer to the next request, which would be called not run though it ran.
+  // A refusal may lack the request id. A second one on this connection could be
+  // taken for the answer to the next request, which would then be reported as
+  // not run although it ran.
   const bool has_id = this->parser->head.id == this->request.id;
   const bool is_usable = has_id && this->parser->head.is_keep_alive &&
                          !this->has_skipped_answer && this->input.empty() &&
@@ -261,7 +266,8 @@
       this->parser->head.keep_alive_s * kMillisPerSecond - kIdleMargin;
   this->is_busy = false;
   this->events = {};
-  // Idle for seconds: nothing of the last exchange is kept.
+  // The connection may be idle for seconds: release the memory of the last
+  // exchange.
   std::string().swap(this->input);
   this->request = {};
   this->idle_since = BootTimeNow();
--- a/libs/relay/src/target_connection.h
+++ b/libs/relay/src/target_connection.h
@@ -11,24 +11,24 @@
 
 namespace almondlink::relay {
 
-/// One connection to the target and the exchange on it.
+/// A connection to the target and the exchange that is in progress on it.
 class TargetConnection : public std::enable_shared_from_this<TargetConnection> {
  public:
   TargetConnection(std::weak_ptr<TargetPool::State> pool,
                    boost::asio::io_context& loop,
                    const HeaderNames& names);
 
-  /// Connects, then sends.
+  /// Connects, then sends the request.
   void Open(Millis now,
             const boost::asio::ip::tcp::endpoint& address,
             TargetRequest request,
             TargetEvents events);
-  /// Sends on this idle connection.
+  /// Sends the request on this idle connection.
   void Use(TargetRequest request, TargetEvents events);
-  /// Closes; no event follows.
+  /// Closes the connection; no event follows.
   void Close();
   void OnConsumed(std::size_t bytes);
-  /// Ends a connect that takes too long.
+  /// Fails the exchange if connecting takes too long.
   void CheckConnect(Millis now);
 
   bool IsOpen() const { return this->socket.is_open(); }
@@ -41,7 +41,7 @@
   void Read();
   void OnRead(const boost::system::error_code& error, std::string_view bytes);
   void Parse();
-  /// What the parsed head says of this exchange.
+  /// Whether the parsed answer head belongs to the current request.
   bool IsOfThisRequest() const;
   void Deliver(bool is_complete);
   void Complete();
@@ -56,7 +56,7 @@
   TargetRequest request;
   TargetEvents events;
   std::size_t written = 0;
-  /// Bytes of a long answer that were handed on and not taken yet.
+  /// Bytes of a long answer that were passed on and not consumed yet.
   std::size_t unconsumed = 0;
   bool is_busy = false;
   bool is_connecting = false;
@@ -68,14 +68,14 @@
   Millis idle_until;
 };
 
-/// What the pool and its connections share.
+/// State shared by the pool and its connections.
 struct TargetPool::State {
   State(boost::asio::io_context& loop_in, const HeaderNames& names_in)
       : loop(loop_in), names(names_in) {}
   boost::asio::io_context& loop;
   const HeaderNames& names;
   boost::asio::ip::tcp::endpoint address;
-  /// Most recently used last.
+  /// Idle connections, most recently used last.
   std::vector<std::shared_ptr<TargetConnection>> idle;
   std::vector<std::weak_ptr<TargetConnection>> connecting;
   std::uint64_t connects = 0;
--- a/libs/relay/src/target_pool.cc
+++ b/libs/relay/src/target_pool.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// A request that may run once goes only to a connection that was in use this
-/// shortly before: an older one may be closed by the target at this moment.
+/// A request that must not run twice reuses only a connection that was in use
+/// this recently: the target may be closing an older one at this moment.
 constexpr Millis kMaxIdleSingleUse{1000};
 
 }  // namespace
@@ -102,9 +102,9 @@
     std::function<void(bool is_gone)> done) const {
   const std::weak_ptr<State> weak = this->state;
   ProbeTarget(this->state->loop, this->state->address,
-              [weak, done = std::move(done)](TargetProbeResult presence) {
+              [weak, done = std::move(done)](TargetProbeResult result) {
                 if (!weak.expired()) {
-                  done(presence == TargetProbeResult::kNotListening);
+                  done(result == TargetProbeResult::kNotListening);
                 }
               });
 }
--- a/libs/relay/src/target_probe.cc
+++ b/libs/relay/src/target_probe.cc
@@ -9,11 +9,12 @@
 
 namespace {
 
-/// All connections of a process that ended close at once; after this the loop
-/// has seen all of them.
+/// All connections of a process that has ended are closed at once; after this
+/// delay the event loop has processed all of them.
 constexpr std::chrono::milliseconds kProbeDelay{2};
-/// On one host a connect is answered within a millisecond; this is for a host
-/// that is slow. Requests whose connection closed wait for it.
+/// A connection attempt on the same host is answered within a millisecond; the
+/// rest is for an overloaded host. Requests whose connection closed wait for
+/// the result.
 constexpr std::chrono::milliseconds kProbeTimeout{100};
 
 struct Probe {
--- a/libs/relay/tests/peer_frames_test.cc
+++ b/libs/relay/tests/peer_frames_test.cc
@@ -101,8 +101,8 @@
   other.slots = 42;
   REQUIRE_FALSE(EqualExceptLoad(state, other));
   const std::string_view payload = Only(bytes).payload;
-  // Older nodes' loads end before the errors of the target, before the calls of
-  // chains, and before the list of repeats; each is a byte here.
+  // Loads of older nodes end before the error rate, before the call chains or
+  // before the list of repeats; each takes one byte here.
   const std::size_t older = payload.size() - 1;
   const std::size_t oldest = payload.size() - 3;
   for (std::size_t size = 0; size < payload.size(); ++size) {
@@ -112,8 +112,8 @@
 }
 
 TEST_CASE("a number that never ends, or that nothing can be, is refused") {
-  // Found by the fuzzer: a rate beyond what a fraction holds changed its value
-  // each time it was passed on.
+  // A rate beyond the range of an encoded fraction must be rejected: it would
+  // change its value each time it is decoded and encoded.
   LoadFrame read;
   const std::string huge("\x01\x01\xff\xff\xff\xff\xff\xff\xff\x7f\x00\x00\x00",
                          13);
@@ -134,9 +134,9 @@
   REQUIRE(read.protocol_version == kProtocolVersion);
   REQUIRE(read.known_incarnation == 99);
   REQUIRE(read.draining_instances[0].started_at == 77);
-  // One that knows no start times, and one that knows no dialect.
+  // Hellos without start times, and without a protocol version.
   std::string_view older = Only(bytes).payload;
-  // The former start and its empty list come last.
+  // The previous incarnation and its empty list of repeats are last.
   older.remove_suffix(sizeof(hello.previous_incarnation) + 1);
   REQUIRE(Decode(older, read));
   REQUIRE(read.known_incarnation == 99);
@@ -163,8 +163,8 @@
   read.started_at = 5;
   REQUIRE_FALSE(EqualExceptLoad(state, read));
   std::string_view older = Only(bytes).payload;
-  // Without the start, repeats, calls and errors (a byte each that says none)
-  // and the source.
+  // Cuts off the start time, the source flag, and the repeats, call chains and
+  // error rate, which take one byte each here.
   older.remove_suffix(sizeof(state.started_at) + 4);
   REQUIRE(Decode(older, read));
   REQUIRE(read.started_at == 0);
@@ -194,7 +194,7 @@
   REQUIRE(read.run_counts.size == 2);
   REQUIRE(read.run_counts.entries[0].service == 77);
   REQUIRE(read.run_counts.entries[0].runs == 4);
-  // An older node tells none.
+  // Older nodes send none.
   bytes.clear();
   answer.run_counts = control::CallCounts();
   Append(answer, bytes);
@@ -241,7 +241,8 @@
   StateFrame read;
   REQUIRE(Decode(Only(bytes).payload, read));
   REQUIRE(read.has_source);
-  // Whether a node can read the source is a fact: others stand in for it.
+  // Access to the policy source is not part of the load: other nodes take over
+  // when it is lost.
   read.has_source = false;
   REQUIRE_FALSE(EqualExceptLoadAndVersion(state, read));
   read = state;
@@ -273,7 +274,7 @@
   std::string bytes;
   Append(call, bytes);
   const std::string_view payload = Only(bytes).payload;
-  // An older node's call ends before the hash of the root.
+  // Calls of older nodes end before the hash of the root request's id.
   const std::size_t older = payload.size() - sizeof(call.root_hash);
   for (std::size_t size = 0; size < payload.size(); ++size) {
     CallFrame read;
@@ -299,7 +300,7 @@
   std::string bytes;
   Append(state, bytes);
   std::string payload(Only(bytes).payload);
-  // The count of the last list; the start of the instance follows it.
+  // Overwrites the count of the last list, which precedes the start time.
   payload[payload.size() - sizeof(state.started_at) - 1 - 4] = '\x7f';
   StateFrame read;
   REQUIRE_FALSE(Decode(payload, read));
