--- a/libs/relay/src/node_metrics.cc
+++ b/libs/relay/src/node_metrics.cc
@@ -13,24 +13,24 @@
 constexpr double kMillisPerSecond = 1000;
 
 void WriteTarget(const ServedCalls& served, MetricText& out) {
-  out.AddSingle("target_running", "gauge", "Calls at the target now.",
+  out.AddSingle("target_running", "gauge", "Calls running at the target.",
                 served.Running());
-  out.AddSingle("target_waiting", "gauge", "Calls that wait for a slot.",
+  out.AddSingle("target_waiting", "gauge", "Calls queued for a slot.",
                 served.Waiting());
-  out.AddSingle("target_slots", "gauge", "Calls that may run at once.",
+  out.AddSingle("target_slots", "gauge", "Maximum number of concurrent calls.",
                 control::UsableSlots(served.Ledger()));
   out.AddSingle("target_connects_total", "counter",
-                "New connections to the target.",
+                "Connections opened to the target.",
                 static_cast<double>(served.ConnectCount()));
   out.AddSingle("target_ends_total", "counter",
-                "Starts of the target whose process ended under calls.",
+                "Crashes of the target's process while it served calls.",
                 static_cast<double>(served.Counters().target_crashes));
 }
 
 void WriteRepeats(const std::map<std::string, control::RepeatRoom>& rooms,
                   const std::map<std::string, std::uint64_t>& denied,
                   MetricText& out) {
-  out.Begin("repeats_left", "gauge", "Repeats that may still be made now.");
+  out.Begin("repeats_left", "gauge", "Repeats that this node may still make.");
   for (const auto& [service, room] : rooms) {
     out.Add(MetricLabel("service", service), room.bound - room.repeats);
   }
@@ -40,7 +40,7 @@
     out.Add(MetricLabel("service", service), room.bound);
   }
   out.Begin("repeats_denied_total", "counter",
-            "Repeats asked for and not given: what failed was not made good.");
+            "Repeats denied because the limit was reached.");
   for (const auto& [service, count] : denied) {
     out.Add(MetricLabel("service", service), static_cast<double>(count));
   }
@@ -55,25 +55,25 @@
         return control::IsSuspect(rules, known.second);
       });
   out.Begin("blamed_requests", "gauge",
-            "Different requests that targets ended under, and those of them "
-            "that run on trial only.");
+            "Distinct requests that crashed targets, and those of them that "
+            "are quarantined (held).");
   out.Add("state=\"known\"", static_cast<double>(table.records.size()));
   out.Add("state=\"held\"", static_cast<double>(held));
   const TrialCounts& trials = entry.Trials();
   out.Begin("trials_total", "counter",
-            "Trials of such requests, by what came of them; whole: it was held "
-            "wrongly.");
+            "Trials of quarantined requests by outcome; whole: the run "
+            "completed, so the quarantine was unnecessary.");
   for (const auto& [outcome, count] : trials.ended) {
     out.Add(MetricLabel("outcome", outcome), static_cast<double>(count));
   }
   out.AddSingle("refused_for_ends_total", "counter",
-                "Requests refused because targets ended under the same.",
+                "Requests refused because they crashed targets.",
                 static_cast<double>(trials.refused));
 }
 
 void WriteLog(MetricText& out) {
   const LogCounts lines = CountLogLines();
-  out.Begin("log_lines_total", "counter", "Log lines.");
+  out.Begin("log_lines_total", "counter", "Log lines by outcome.");
   out.Add("outcome=\"written\"", static_cast<double>(lines.written));
   out.Add("outcome=\"left_out\"", static_cast<double>(lines.left_out));
 }
@@ -85,12 +85,12 @@
         all.begin(), all.end(),
         [holds](const PeerPointer& peer) { return holds(*peer); }));
   };
-  out.AddSingle("peers", "gauge", "Nodes that can be reached, with this one.",
+  out.AddSingle("peers", "gauge", "Reachable nodes, including this one.",
                 peers.CountReachable());
   out.AddSingle("peers_suspect", "gauge",
-                "Nodes that are silent while calls are out.",
+                "Nodes that are silent while answers are due.",
                 count([](const Peer& peer) { return peer.is_suspect; }));
-  out.AddSingle("open_targets", "gauge", "Targets that take calls.",
+  out.AddSingle("open_targets", "gauge", "Targets that accept calls.",
                 count([](const Peer& peer) {
                   return peer.IsReachable() &&
                          peer.reported.state == InstanceState::kReady;
@@ -104,15 +104,18 @@
   this->entry.Counts().Write(out);
   WriteRepeats(this->entry.RepeatRooms(now), this->entry.RepeatsDenied(), out);
   out.Begin("refused_for_total", "counter",
-            "Root requests refused at entry, by the service without room.");
+            "Root requests refused at entry, by the service that lacked "
+            "capacity.");
   for (const auto& [service, count] : this->entry.RefusedFor()) {
     out.Add(MetricLabel("service", service), static_cast<double>(count));
   }
-  out.Begin("short_slot_seconds_total", "counter",
-            "Slot time while requests were refused for want of this target.");
+  out.Begin(
+      "short_slot_seconds_total", "counter",
+      "Slot time, available (there) and used, while requests were refused "
+      "because this target's service lacked capacity.");
   out.Add("part=\"there\"", this->short_available_s);
   out.Add("part=\"used\"", this->short_used_s);
-  out.Begin("admitted_share", "gauge", "Part of the root requests let in.");
+  out.Begin("admitted_share", "gauge", "Share of the root requests admitted.");
   for (const auto& [key, share] : this->entry.Admission().routes) {
     out.Add(MetricLabel("route", this->entry.RouteName(key)), share.share);
   }
@@ -121,13 +124,13 @@
   WritePeers(this->peers, out);
   WriteQuarantine(this->entry, this->entry.Blame().Table(), out);
   out.AddSingle("follows_policy_source", "gauge",
-                "1: this node reads the policy's source for others.",
+                "1 if this node polls the policy source for others.",
                 this->FollowsSource() ? 1 : 0);
   out.AddSingle("policy_version", "gauge", "Version of the policy in force.",
                 static_cast<double>(this->PolicyVersion()));
   if (this->PolicyVersion() != 0) {
     out.AddSingle("policy_age_seconds", "gauge",
-                  "Time since that version is in force.",
+                  "Time since the policy in force was applied.",
                   static_cast<double>((now - this->policy_applied_at).count) /
                       kMillisPerSecond);
   }
@@ -141,7 +144,7 @@
     names.emplace(ServiceKeyOf(peer->reported.service), peer->reported.service);
   }
   out.Begin("calls_per_root", "gauge",
-            "Calls at a service for each root request, as counted here.");
+            "Calls at a service per root request, as counted at this node.");
   for (const auto& [route, chain] : this->entry.Admission().chains.routes) {
     for (const control::ServiceCalls& calls : chain.calls) {
       const auto name = names.find(calls.service);
--- a/libs/relay/src/relay_node.cc
+++ b/libs/relay/src/relay_node.cc
@@ -271,7 +271,7 @@
   const control::ReportEffect effect = this->served.OnReport(report);
   if (effect == control::ReportEffect::kRefused) {
     return Fail(ErrorKind::kBadMessage,
-                "service: a start of an instance does not change it");
+                "service: a running instance cannot change its service");
   }
   if (effect == control::ReportEffect::kChanged) {
     this->LogInstance();
--- a/libs/relay/tests/peer_frames_test.cc
+++ b/libs/relay/tests/peer_frames_test.cc
@@ -14,7 +14,7 @@
   return *frame;
 }
 
-TEST_CASE("a call survives the way, whatever bytes it carries") {
+TEST_CASE("a call with arbitrary bytes is unchanged by a round trip") {
   CallFrame call;
   call.id = 7;
   call.remaining_ms = 900;
@@ -43,7 +43,7 @@
   REQUIRE(read.body == body);
 }
 
-TEST_CASE("state and hello survive the way") {
+TEST_CASE("state and hello are unchanged by a round trip") {
   StateFrame state;
   state.policy_version = 1ULL << 40;
   state.instance = "i-9";
@@ -70,7 +70,7 @@
   REQUIRE(hello_read.draining_instances[0].sequence == 44);
 }
 
-TEST_CASE("a load survives the way and changes nothing else of a state") {
+TEST_CASE("a load is unchanged by a round trip and updates only the load") {
   StateFrame state;
   state.policy_version = 9;
   state.instance = "i-9";
@@ -111,7 +111,7 @@
   }
 }
 
-TEST_CASE("a number that never ends, or that nothing can be, is refused") {
+TEST_CASE("unterminated and out-of-range varints are rejected") {
   // A rate beyond the range of an encoded fraction must be rejected: it would
   // change its value each time it is decoded and encoded.
   LoadFrame read;
@@ -121,7 +121,7 @@
   REQUIRE_FALSE(Decode(std::string(40, '\xff'), read));
 }
 
-TEST_CASE("a hello of an older node is understood") {
+TEST_CASE("a hello of an older node is decoded") {
   HelloFrame hello;
   hello.self = {"n1", "127.0.0.1:9", 12};
   hello.protocol_version = kProtocolVersion;
@@ -150,7 +150,7 @@
   REQUIRE(read.protocol_version == 0);
 }
 
-TEST_CASE("the start of an instance survives the way") {
+TEST_CASE("the start time of an instance is unchanged by a round trip") {
   StateFrame state;
   state.instance = "i-1";
   state.started_at = 1ULL << 41;
@@ -180,7 +180,7 @@
   REQUIRE(number.sequence == 9);
 }
 
-TEST_CASE("what ran for a call survives the way") {
+TEST_CASE("the run counts of a call are unchanged by a round trip") {
   AnswerFrame answer;
   answer.id = 3;
   answer.body = "body";
@@ -203,7 +203,7 @@
   REQUIRE(read.run_counts.size == 0);
 }
 
-TEST_CASE("calls of chains are told and kept until they are told again") {
+TEST_CASE("call chains are kept until a load contains them again") {
   StateFrame state;
   state.roots = {{5, 60, 40, {{77, 8}, {78, 2.5}}}, {6, 1, 1, {}}};
   std::string bytes;
@@ -233,7 +233,7 @@
   REQUIRE(read.roots[0].calls[0].per_root == Approx(4));
 }
 
-TEST_CASE("what is told of the policy survives the way") {
+TEST_CASE("policy information is unchanged by a round trip") {
   StateFrame state;
   state.has_source = true;
   std::string bytes;
@@ -267,7 +267,7 @@
   REQUIRE_FALSE(DecodeNodes(Only(bytes).payload.substr(0, 20), nodes));
 }
 
-TEST_CASE("a payload cut anywhere is refused, never read beyond") {
+TEST_CASE("a truncated payload is rejected without reading beyond its end") {
   CallFrame call;
   call.instance = "i-1";
   call.body = "body";
@@ -283,7 +283,7 @@
   }
 }
 
-TEST_CASE("a part of a frame waits, and a senseless length is refused") {
+TEST_CASE("an incomplete frame is kept, and an invalid length is rejected") {
   std::string bytes;
   AppendCancel(3, bytes);
   bool is_bad = false;
@@ -295,7 +295,7 @@
   REQUIRE(is_bad);
 }
 
-TEST_CASE("a list that claims more entries than there are bytes is refused") {
+TEST_CASE("a list with more entries than remaining bytes is rejected") {
   StateFrame state;
   std::string bytes;
   Append(state, bytes);
@@ -306,7 +306,7 @@
   REQUIRE_FALSE(Decode(payload, read));
 }
 
-TEST_CASE("asks and loans of a quota, and a target's errors, survive the way") {
+TEST_CASE("quota frames and the error rate are unchanged by a round trip") {
   std::string bytes;
   Append(QuotaRequestFrame{0xfedcba98, 300}, bytes);
   QuotaRequestFrame ask;
--- a/libs/relay/tests/quarantine_frames_test.cc
+++ b/libs/relay/tests/quarantine_frames_test.cc
@@ -15,7 +15,7 @@
   return frame->payload;
 }
 
-TEST_CASE("news of ends and of whole runs come back as they were") {
+TEST_CASE("quarantine updates are unchanged by a round trip") {
   QuarantineFrame frame;
   frame.updates.resize(2);
   frame.updates[0].digest = {1, 2, 3};
@@ -42,7 +42,7 @@
   }
 }
 
-TEST_CASE("asks for trials and their answers come back as they were") {
+TEST_CASE("trial frames are unchanged by a round trip") {
   std::string bytes;
   Append(TrialRequestFrame{{1, 2, 3}, "stock", 500}, bytes);
   TrialRequestFrame ask;
