--- a/libs/relay/src/node_metrics.cc
+++ b/libs/relay/src/node_metrics.cc
@@ -61,8 +61,8 @@
   out.Add("state=\"held\"", static_cast<double>(held));
   const TrialCounts& trials = entry.Trials();
   out.Begin("trials_total", "counter",
-            "Trials of quarantined requests by outcome; whole: the run "
-            "completed, so the quarantine was unnecessary.");
+            "Trials of quarantined requests by outcome; whole: quarantined "
+            "wrongly.");
   for (const auto& [outcome, count] : trials.ended) {
     out.Add(MetricLabel("outcome", outcome), static_cast<double>(count));
   }
