--- a/libs/relay/include/almondlink/relay/peer_frames.h
+++ b/libs/relay/include/almondlink/relay/peer_frames.h
@@ -43,12 +43,13 @@
   kPolicyVersion = 13,
   /// Addresses of nodes that the sender has just learned of.
   kNodes = 14,
-  /// Requests quota tokens from the lender of an account, and its answer.
+  /// Request for quota tokens to the lender of an account, and its answer.
   kQuotaRequest = 15,
   kQuotaLoan = 16,
   /// Records of requests that crashed targets, or that completed.
   kQuarantine = 17,
-  /// Requests a trial of such a request, the answer, and the trial's end.
+  /// Request for a trial of a quarantined request, its answer, and the end of
+  /// the trial.
   kTrialRequest = 18,
   kTrialResponse = 19,
   kTrialEnded = 20,
@@ -132,6 +133,7 @@
   std::string instance;
   std::uint64_t sequence = 0;
   InstanceState state = InstanceState::kNone;
+  /// Calls that may run at the target at once, that run, and that are queued.
   std::uint32_t slots = 0;
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
@@ -189,6 +191,7 @@
   std::uint32_t id = 0;
   /// The sender's clock at sending, to detect that the frame was delayed.
   std::uint64_t sent_ms = 0;
+  /// Time until the request's deadline.
   std::uint32_t remaining_ms = 0;
   /// Maximum time that it may be queued for a slot.
   std::uint32_t wait_ms = 0;
@@ -200,6 +203,7 @@
   std::uint8_t priority = 0;
   /// Route of the root request; 0 if unknown.
   std::uint32_t root_route = 0;
+  /// The target instance that the call is meant for.
   std::string_view instance;
   std::string_view caller_service;
   std::string_view request_id;
@@ -257,6 +261,7 @@
   std::uint16_t status = 0;
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
+  /// Time from dispatch to the answer's head.
   std::uint32_t work_us = 0;
   std::string_view status_text;
   std::string_view fields;
--- a/libs/relay/include/almondlink/relay/peer_link.h
+++ b/libs/relay/include/almondlink/relay/peer_link.h
@@ -52,7 +52,9 @@
 
   bool IsOpen() const { return this->socket.is_open(); }
   std::uint64_t Id() const { return this->id; }
+  /// When data was last received, or when the link was created.
   Millis LastReceived() const { return this->last_received; }
+  /// Bytes in the output buffer.
   std::size_t PendingBytes() const { return this->output.size(); }
 
  private:
--- a/libs/relay/include/almondlink/relay/relay_node.h
+++ b/libs/relay/include/almondlink/relay/relay_node.h
@@ -70,6 +70,7 @@
   /// the report is then ignored.
   Result<void> OnReport(const control::InstanceReport& report,
                         std::function<void()> acknowledge);
+  /// The instance leaves; `acknowledge` as above.
   void OnLeave(const control::InstanceStart& start,
                std::function<void()> acknowledge);
 
--- a/libs/relay/include/almondlink/relay/served_calls.h
+++ b/libs/relay/include/almondlink/relay/served_calls.h
@@ -93,8 +93,12 @@
   /// `transit_delay`: time that the frame was delayed on the link, which is
   /// subtracted from the remaining time.
   void OnCall(LinkId link, const CallFrame& frame, Millis transit_delay);
+  /// Cancels a call. One that runs and must not run twice is left to finish,
+  /// without an answer.
   void OnCancel(LinkId link, std::uint32_t id);
+  /// Flow control: the receiver consumed `bytes` of the answer.
   void OnWindow(LinkId link, std::uint32_t id, std::uint32_t bytes);
+  /// Cancels all calls of the link.
   void OnLinkClosed(LinkId link);
 
   /// Applies reports of the target instance; see control/instance_ledger.h.
--- a/libs/relay/include/almondlink/relay/target_pool.h
+++ b/libs/relay/include/almondlink/relay/target_pool.h
@@ -39,6 +39,7 @@
   /// The answer's head with its body, or with the first part of it.
   std::function<void(const AnswerHead&, std::string body, bool has_more)>
       on_answer;
+  /// A further part of the body. `is_broken`: the answer ended prematurely.
   std::function<void(std::string part, bool is_last, bool is_broken)> on_part;
   /// No valid answer. `was_sent`: at least one byte of the request was written.
   std::function<void(CallReason reason, bool was_sent)> on_failed;
--- a/libs/relay/tests/peer_frames_test.cc
+++ b/libs/relay/tests/peer_frames_test.cc
@@ -101,7 +101,7 @@
   other.slots = 42;
   REQUIRE_FALSE(EqualExceptLoad(state, other));
   const std::string_view payload = Only(bytes).payload;
-  // Loads of older nodes end before the error rate, before the call chains or
+  // Older nodes' loads end before the error rate, before the call chains or
   // before the list of repeats; each takes one byte here.
   const std::size_t older = payload.size() - 1;
   const std::size_t oldest = payload.size() - 3;
