--- a/libs/relay/include/almondlink/relay/served_calls.h
+++ b/libs/relay/include/almondlink/relay/served_calls.h
@@ -19,23 +19,24 @@
 #include "almondlink/relay/peer_frames.h"
 #include "almondlink/relay/target_pool.h"
 
-/// Calls for the target beside this node: who runs, who waits, who is sent
-/// back.
+/// Queues and dispatches the calls for the target beside this node, and rejects
+/// those that cannot be served.
 ///
-/// This node sees all traffic of its target, so it holds the target's
-/// concurrency exactly. What does not fit waits in one order: by the priority
-/// of the root request, then deeper calls first (more was spent on them), then
-/// by arrival.
+/// All traffic of the target passes through this node, so its concurrency limit
+/// is exact. Calls beyond the limit are queued in one order: by the priority of
+/// the root request, then deeper calls first (more work was already spent on
+/// them), then by arrival.
 namespace almondlink::relay {
 
-/// Where an answer goes: the link that the call came by, or 0 for this node.
+/// Id of the link that a call came by, to which its answer goes; kLocalLink for
+/// calls of this node.
 using LinkId = std::uint64_t;
-constexpr LinkId kOwnNode = 0;
+constexpr LinkId kLocalLink = 0;
 
-/// What is known of a running request, for the calls that it makes.
+/// Properties of a running request that the calls it makes inherit.
 struct RunInfo {
   std::uint32_t root_route = 0;
-  /// Of the id of the root request; all calls of a chain have the same.
+  /// Hash of the root request's id, the same in all calls of a chain.
   std::uint64_t root_hash = 0;
   std::uint8_t priority = 0;
   std::uint8_t depth = 0;
@@ -46,20 +47,20 @@
 struct ServedEvents {
   std::function<void(LinkId, const AnswerFrame&)> on_answer;
   std::function<void(LinkId, const DataFrame&)> on_part;
-  /// A call ended without having run, or broke; for the log.
+  /// A call was not run, or failed after it was sent; for the log.
   std::function<void(const std::string& request_id,
                      CallReason reason,
                      bool was_sent,
                      Millis waited)>
       on_failed;
-  /// The process of that start of the target is gone; `running`: calls that
-  /// ended with it.
+  /// The process of that incarnation of the target has crashed; `running`:
+  /// number of calls that were running.
   std::function<void(const control::InstanceIncarnation& start,
                      std::size_t running)>
-      on_target_ended;
+      on_target_crashed;
 };
 
-/// Counters for metrics; all only grow.
+/// Counters for metrics; they never decrease.
 struct ServedCounters {
   std::uint64_t calls = 0;
   std::uint64_t answered = 0;
@@ -67,15 +68,15 @@
   std::uint64_t not_sent = 0;
   std::uint64_t broken = 0;
   std::uint64_t cancelled = 0;
-  /// Starts of the target whose process was found gone.
-  std::uint64_t target_ends = 0;
+  /// Crashes of the target's process that were detected.
+  std::uint64_t target_crashes = 0;
 };
 
 /// Not thread safe: belongs to one loop.
 class ServedCalls {
  public:
-  /// `names` must outlive it. `drain`: time after which a leaving instance must
-  /// get nothing more.
+  /// `names` must outlive it. `drain`: time after which a draining instance
+  /// must receive no more calls.
   ServedCalls(boost::asio::io_context& loop,
               const HeaderNames& names,
               Millis drain,
@@ -86,59 +87,71 @@
 
   void SetTargetAddress(const boost::asio::ip::tcp::endpoint& address);
 
-  /// Part of the target's slots that is used.
-  void SetUsablePart(double part) { this->ledger.usable_share = part; }
+  /// Sets the share of the target's slots that is used.
+  void SetUsableShare(double part) { this->ledger.usable_share = part; }
 
-  /// Takes a call; exactly one answer follows unless it is cancelled. `held`:
-  /// time that the frame was held up on its way.
-  void OnCall(LinkId link, const CallFrame& frame, Millis held);
+  /// Accepts a call; exactly one answer follows unless it is cancelled.
+  /// `transit_delay`: time that the frame was delayed on the link, which is
+  /// subtracted from the remaining time.
+  void OnCall(LinkId link, const CallFrame& frame, Millis transit_delay);
+  /// Cancels a call. One that runs and must not run twice is left to finish,
+  /// without an answer.
   void OnCancel(LinkId link, std::uint32_t id);
+  /// Flow control: the receiver consumed `bytes` of the answer.
   void OnWindow(LinkId link, std::uint32_t id, std::uint32_t bytes);
+  /// Cancels all calls of the link.
   void OnLinkClosed(LinkId link);
 
-  /// Reports of the instance; see control/instance_tracker.h.
+  /// Applies reports of the target instance; see control/instance_tracker.h.
+  /// RestoreDraining() takes a leave that another node recorded.
   control::ReportEffect OnReport(const control::InstanceReport& report);
   control::ReportEffect OnLeave(const control::InstanceIncarnation& start);
-  control::ReportEffect Remember(const control::InstanceIncarnation& start);
+  control::ReportEffect RestoreDraining(
+      const control::InstanceIncarnation& start);
 
-  /// The run of the target that `request_id` belongs to, if it is running.
+  /// The running request with that id, if there is one.
   std::optional<RunInfo> FindRun(const std::string& request_id) const;
 
-  /// A running request of the target made a call.
-  void NoteCallOfRun() { ++this->calls_of_runs.events; }
-  /// A call that a running request made has ended; `ran` ran for it.
-  void AddToRun(const std::string& request_id, const control::CallCounts& ran);
-  /// Runs at `service` that the calls of a running request have led to so far.
-  std::uint32_t RanForRun(const std::string& request_id,
-                          const std::string& service) const;
-  /// Calls that a run makes, on average over the last seconds.
+  /// Counts a call that a running request of the target made.
+  void CountCallOfRun() { ++this->calls_of_runs.events; }
+  /// Adds the runs of a completed call, and of the calls further down, to the
+  /// running request that made it.
+  void AddRunCounts(const std::string& request_id,
+                    const control::CallCounts& ran);
+  /// Number of runs at `service` that the calls of a running request have
+  /// caused so far.
+  std::uint32_t CountRunsAt(const std::string& request_id,
+                            const std::string& service) const;
+  /// Mean number of calls that a run makes, over the last seconds.
   double CallsPerRun() const;
 
-  /// Part of the target's answers that are failures of its own, now.
-  double Erring() const;
+  /// Current share of the target's answers that are its own failures, 0 to 1.
+  double ErrorRate() const;
 
-  /// Time-outs and the meter; call every few tens of milliseconds.
+  /// Handles timeouts and updates the demand meter; call it every few tens of
+  /// milliseconds.
   void Sweep(Millis now);
 
   const control::InstanceTracker& Ledger() const { return this->ledger; }
-  /// Whether the process of the target is known to be gone.
-  bool IsGone() const { return this->is_gone; }
+  /// Whether the target's process is known to have crashed and has not reported
+  /// since.
+  bool IsTargetGone() const { return this->is_target_gone; }
   const control::DemandMeter& Meter() const { return this->meter; }
   const ServedCounters& Counters() const { return this->counters; }
   std::uint32_t Running() const { return this->running; }
   std::uint32_t Waiting() const;
-  std::uint64_t Connects() const { return this->pool.Connects(); }
+  std::uint64_t ConnectCount() const { return this->pool.ConnectCount(); }
 
  private:
   struct Call;
   using CallKey = std::pair<LinkId, std::uint32_t>;
   using CallPointer = std::shared_ptr<Call>;
-  /// Priority, then depth (deeper first), then arrival.
+  /// Queue order: priority, then depth (deeper first), then arrival.
   using Order = std::tuple<std::uint8_t, int, std::uint64_t>;
 
-  void Fill(Millis now);
+  void FillSlots(Millis now);
   void Dispatch(Millis now, const CallPointer& call);
-  void TellLoad(AnswerFrame& answer) const;
+  void SetLoad(AnswerFrame& answer) const;
   TargetRequest MakeRequest(Call& call, Millis left) const;
   void OnAnswer(const CallPointer& call,
                 const AnswerHead& head,
@@ -149,20 +162,20 @@
               bool is_last,
               bool is_broken);
   void EndRun(const CallPointer& call);
-  void EndRunsOfEarlierStart();
-  void Break(const CallPointer& call);
-  void BreakAnswer(const CallPointer& call, bool is_target_ended);
-  void NoteLeft(Millis now, const CallPointer& call);
-  void TellLeft();
-  void FindOut();
-  void EndDoubt(bool is_refused);
-  bool IsEnd(bool is_refused) const;
-  void Sample(const Call& call, LatencyMs work);
+  void EndRunsOfPreviousIncarnation();
+  void OnConnectionLost(const CallPointer& call);
+  void EndPartialAnswer(const CallPointer& call, bool is_crash);
+  void RecordCancelled(Millis now, const CallPointer& call);
+  void ReportCancelled();
+  void StartCrashCheck();
+  void FinishCrashCheck(bool is_connect_refused);
+  bool IsCrash(bool is_connect_refused) const;
+  void RecordWorkTime(const Call& call, LatencyMs work);
   void Reject(const CallPointer& call, CallReason reason);
   void SendOutcome(const CallPointer& call,
                    CallOutcome outcome,
                    CallReason reason);
-  CallReason WhyNotServed(Millis now, const CallFrame& frame) const;
+  CallReason ReasonToReject(Millis now, const CallFrame& frame) const;
   bool IsPastDrain(Millis now) const;
 
   const HeaderNames& names;
@@ -176,20 +189,20 @@
   std::map<CallKey, CallPointer> calls;
   std::map<Order, CallPointer> queue;
   std::unordered_map<std::string, CallPointer> runs;
-  /// Calls whose connection closed without an answer, while it is found out
-  /// whether the target's process is gone.
-  std::vector<CallPointer> doubted;
-  bool is_finding_out = false;
-  /// Calls that were cancelled while they ran: their target may yet end under
-  /// them.
-  struct LeftCall {
+  /// Calls whose connection closed without an answer, while it is checked
+  /// whether the target's process has crashed.
+  std::vector<CallPointer> awaiting_crash_check;
+  bool is_checking_crash = false;
+  /// Calls that were cancelled while they ran. If the target crashes soon
+  /// after, their senders are informed, since the call may be the cause.
+  struct CancelledCall {
     LinkId link = 0;
     std::uint32_t id = 0;
     Millis at;
   };
-  std::deque<LeftCall> left;
-  /// The target's process is gone; until it reports again.
-  bool is_gone = false;
+  std::deque<CancelledCall> recently_cancelled;
+  /// The target's process has crashed; reset by its next report.
+  bool is_target_gone = false;
   std::uint64_t arrivals = 0;
   std::uint32_t running = 0;
   Millis last_sweep;
--- a/libs/relay/src/entry_repeats.cc
+++ b/libs/relay/src/entry_repeats.cc
@@ -84,7 +84,7 @@
     if (peer->is_self || !peer->IsReachable()) {
       continue;
     }
-    for (const ServiceRepeats& entry : peer->told.repeats) {
+    for (const ServiceRepeats& entry : peer->reported.repeats) {
       if (entry.service == key) {
         sums.requests += entry.counts.requests;
         sums.requests_half_earlier += entry.counts.requests_half_earlier;
@@ -106,7 +106,7 @@
   }
   double sum = 0;
   std::uint32_t others = 0;
-  for (const PeerPointer& other : this->peers.Of(call.service)) {
+  for (const PeerPointer& other : this->peers.PeersOfService(call.service)) {
     if (other != peer && IsOpen(*other)) {
       sum += other->health.error_rate;
       ++others;
@@ -118,8 +118,8 @@
 /// Calls that a run of the service makes, at the target that makes most.
 double EntryCalls::CallsPerRun(const std::string& service) {
   double calls = 0;
-  for (const PeerPointer& peer : this->peers.Of(service)) {
-    calls = std::max(calls, peer->told.calls_per_run);
+  for (const PeerPointer& peer : this->peers.PeersOfService(service)) {
+    calls = std::max(calls, peer->reported.calls_per_run);
   }
   return calls;
 }
@@ -141,7 +141,7 @@
                             ? 1
                             : calls->second.per_root;
   want.answered_calls =
-      this->served.RanForRun(this->ParentOf(call), call.service);
+      this->served.CountRunsAt(this->ParentOf(call), call.service);
   want.root_hash = call.info.root_hash;
   const double place = control::RepeatRank(want);
   if (!control::HasSharedCapacity(rules,
--- /dev/null
+++ b/libs/relay/src/peer_state.cc
@@ -0,0 +1,372 @@
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+#include "almondlink/base/event_log.h"
+#include "almondlink/relay/peer_table.h"
+
+/// Exchange of identity, state and load between nodes. PeerTable is implemented
+/// in three files: this one, peer_table.cc (links) and peer_policy.cc
+/// (distribution of the policy).
+namespace almondlink::relay {
+
+namespace {
+
+/// Maximum number of draining instances that are kept for each peer.
+constexpr std::size_t kMaxDrainingInstances = 16;
+/// Maximum number of other nodes named in a hello. A node receives a hello from
+/// each node that it meets, so it learns all n nodes after about log(n) of
+/// them.
+constexpr std::size_t kMaxNodesInHello = 16;
+/// Call chains are sent again after this time, for nodes that missed a load.
+constexpr Millis kChainsInterval{3000};
+
+void ClearChains(std::vector<control::RootRate>& roots) {
+  for (control::RootRate& root : roots) {
+    root.calls.clear();
+  }
+}
+
+}  // namespace
+
+/// Sets the peer's incarnation. If it has restarted, keeps what its previous
+/// incarnation reported, to return it in a hello.
+void PeerTable::UpdateIncarnation(std::uint64_t incarnation, Peer& peer) {
+  if (peer.node.incarnation != 0 && peer.node.incarnation != incarnation) {
+    peer.previous_incarnation = peer.node.incarnation;
+    peer.previous_repeats = peer.reported.repeats;
+  }
+  peer.node.incarnation = incarnation;
+}
+
+/// Returns a random sample of the known nodes to name to the node `to`. If
+/// every node sent all of them to every other, the traffic at each start would
+/// grow with the cube of the number of nodes.
+std::vector<NodeAddress> PeerTable::SampleNodes(const std::string& to) {
+  std::vector<NodeAddress> known;
+  for (const PeerPointer& peer : this->peers) {
+    if (!peer->is_self && peer->link != nullptr && peer->node.name != to) {
+      known.push_back(peer->node);
+    }
+  }
+  std::vector<NodeAddress> some;
+  std::sample(known.begin(), known.end(), std::back_inserter(some),
+              kMaxNodesInHello, this->random);
+  return some;
+}
+
+void PeerTable::SendHello(PeerLink& link, const std::string& to) {
+  HelloFrame hello;
+  hello.self = this->self->node;
+  hello.zone = this->settings.zone.Value();
+  hello.deployment = this->settings.deployment;
+  hello.known_nodes = this->SampleNodes(to);
+  hello.protocol_version = kProtocolVersion;
+  const auto known = this->draining_instances.find(to);
+  if (known != this->draining_instances.end()) {
+    hello.draining_instances.assign(known->second.begin(), known->second.end());
+  }
+  const auto receiver = std::find_if(
+      this->peers.begin(), this->peers.end(),
+      [&to](const PeerPointer& peer) { return peer->node.name == to; });
+  if (receiver != this->peers.end()) {
+    const Peer& peer = **receiver;
+    hello.known_incarnation = peer.node.incarnation;
+    hello.previous_incarnation = peer.previous_incarnation;
+    // If no later incarnation of it has reported, its last report is the
+    // previous one.
+    hello.previous_repeats = peer.previous_incarnation != 0
+                                 ? peer.previous_repeats
+                             : peer.has_reported ? std::vector<ServiceRepeats>()
+                                                 : peer.reported.repeats;
+  }
+  Append(hello, link.OutputBuffer());
+  link.ScheduleFlush();
+}
+
+/// Returns true if this node raised its incarnation because the sender knows a
+/// later one.
+bool PeerTable::OnHello(const HelloFrame& hello) {
+  const bool is_raised = hello.known_incarnation > this->self->node.incarnation;
+  if (is_raised) {
+    // The clock went back between the previous start and this one.
+    this->SetIncarnation(hello.known_incarnation + 1);
+    this->events.on_incarnation_changed(this->self->node.incarnation);
+  }
+  const bool has_previous =
+      hello.previous_incarnation != 0 ||
+      (hello.known_incarnation != 0 &&
+       hello.known_incarnation != this->self->node.incarnation);
+  if (has_previous) {
+    this->events.on_previous_repeats(hello.previous_repeats);
+  }
+  this->AddNode(hello.self);
+  for (const NodeAddress& node : hello.known_nodes) {
+    this->AddNode(node);
+  }
+  for (const InstanceRecord& record : hello.draining_instances) {
+    this->events.on_remembered_instance(record);
+  }
+  return is_raised;
+}
+
+/// Closes the link of a peer whose frames cannot be decoded: later frames could
+/// be misread, and a skipped answer would leave its call waiting until the
+/// deadline.
+void PeerTable::OnAcceptedFrame(const PeerLinkPointer& link,
+                                const RawFrame& frame) {
+  if (this->HandleAcceptedFrame(link, frame)) {
+    return;
+  }
+  const auto entry = this->accepted.find(link->Id());
+  LogEvent(kEventPeerRefused,
+           {{"node", entry == this->accepted.end() ? "" : entry->second.node},
+            {"frame", std::to_string(static_cast<unsigned>(frame.type))}});
+  this->accepted.erase(link->Id());
+  link->Close();
+  this->events.on_accepted_closed(link->Id());
+}
+
+bool PeerTable::HandleAcceptedFrame(const PeerLinkPointer& link,
+                                    const RawFrame& frame) {
+  switch (frame.type) {
+    case FrameType::kHello:
+      return this->OnAcceptedHello(link, frame.payload);
+    case FrameType::kPolicy:
+      // Pushed by a node below kVersionPolicyPull; from others it is requested.
+      return this->OnPolicy(nullptr, frame.payload);
+    case FrameType::kPolicyRequest:
+      return this->OnPolicyRequest(link, frame.payload);
+    case FrameType::kPing: {
+      const auto entry = this->accepted.find(link->Id());
+      if (entry != this->accepted.end()) {
+        this->SendState(entry->second);
+      }
+      return true;
+    }
+    case FrameType::kStateConfirmed: {
+      ReportId report;
+      if (!DecodeStateConfirmed(frame.payload, report)) {
+        return false;
+      }
+      this->events.on_state_confirmed(report);
+      return true;
+    }
+    default:
+      return this->events.on_accepted_frame(link, frame);
+  }
+}
+
+bool PeerTable::OnAcceptedHello(const PeerLinkPointer& link,
+                                std::string_view payload) {
+  HelloFrame hello;
+  if (!Decode(payload, hello) ||
+      hello.deployment != this->settings.deployment) {
+    return false;
+  }
+  AcceptedLink& entry = this->accepted[link->Id()];
+  entry.node = hello.self.name;
+  entry.protocol_version = hello.protocol_version;
+  this->OnHello(hello);
+  this->SendHello(*link, hello.self.name);
+  this->SendState(entry);
+  return true;
+}
+
+void PeerTable::OnDialledFrame(const PeerPointer& peer, const RawFrame& frame) {
+  peer->is_suspect = false;
+  if (!this->HandleDialledFrame(peer, frame)) {
+    LogEvent(kEventPeerRefused,
+             {{"node", peer->node.name},
+              {"frame", std::to_string(static_cast<unsigned>(frame.type))}});
+    this->DropLink(peer);
+  }
+}
+
+bool PeerTable::HandleDialledFrame(const PeerPointer& peer,
+                                   const RawFrame& frame) {
+  switch (frame.type) {
+    case FrameType::kHello:
+      return this->OnDialledHello(peer, frame.payload);
+    case FrameType::kState:
+      return this->OnState(peer, frame.payload);
+    case FrameType::kLoad:
+      return this->OnLoad(peer, frame.payload);
+    case FrameType::kPolicyVersion:
+      return this->OnPolicyVersion(peer, frame.payload);
+    case FrameType::kNodes:
+      return this->OnNodes(frame.payload);
+    case FrameType::kPolicy:
+      return this->OnPolicy(peer, frame.payload);
+    default:
+      return this->events.on_dialled_frame(peer, frame);
+  }
+}
+
+bool PeerTable::OnDialledHello(const PeerPointer& peer,
+                               std::string_view payload) {
+  HelloFrame hello;
+  if (!Decode(payload, hello)) {
+    return false;
+  }
+  if (hello.self.name != peer->node.name) {
+    // Another node has this address now.
+    peer->node = hello.self;
+  }
+  UpdateIncarnation(hello.self.incarnation, *peer);
+  peer->protocol_version = hello.protocol_version;
+  if (this->OnHello(hello)) {
+    // The peer takes this node for an earlier incarnation until it receives the
+    // new number.
+    this->SendHello(*peer->link, peer->node.name);
+  }
+  return true;
+}
+
+bool PeerTable::OnState(const PeerPointer& peer, std::string_view payload) {
+  StateFrame state;
+  if (!Decode(payload, state)) {
+    return false;
+  }
+  const bool is_first = !peer->has_reported;
+  const bool is_service_changed = peer->reported.service != state.service;
+  const bool is_new_incarnation = peer->reported.instance != state.instance ||
+                                  peer->reported.started_at != state.started_at;
+  peer->has_reported = true;
+  peer->dial_backoff = Millis{0};
+  peer->reported = std::move(state);
+  peer->reported_at = BootTimeNow();
+  peer->sent_since_report = 0;
+  if (is_service_changed) {
+    this->by_service.clear();
+  }
+  if (is_new_incarnation) {
+    // Health observations of the previous instance do not apply to this one.
+    peer->health = control::TargetHealth();
+  }
+  this->RecordDrainingInstance(peer);
+  this->events.on_state(peer, is_first);
+  this->RequestPolicy(peer->reported_at);
+  return true;
+}
+
+/// Records a peer's draining instance, so that the peer can restore this state
+/// after a restart.
+void PeerTable::RecordDrainingInstance(const PeerPointer& peer) {
+  if (peer->reported.state != InstanceState::kDraining) {
+    return;
+  }
+  const StateFrame& reported = peer->reported;
+  std::deque<InstanceRecord>& records =
+      this->draining_instances[peer->node.name];
+  const auto known =
+      std::find_if(records.begin(), records.end(),
+                   [&reported](const InstanceRecord& record) {
+                     return record.instance == reported.instance &&
+                            record.started_at == reported.started_at;
+                   });
+  if (known != records.end()) {
+    records.erase(known);
+  }
+  records.push_back(InstanceRecord{peer->node.name, reported.instance,
+                                   reported.sequence, reported.state,
+                                   reported.started_at});
+  if (records.size() > kMaxDrainingInstances) {
+    records.pop_front();
+  }
+  AppendStateConfirmed({reported.started_at, reported.sequence},
+                       peer->link->OutputBuffer());
+  peer->link->ScheduleFlush();
+}
+
+bool PeerTable::OnLoad(const PeerPointer& peer, std::string_view payload) {
+  LoadFrame load;
+  if (!Decode(payload, load)) {
+    return false;
+  }
+  if (!peer->has_reported) {
+    // A load is meaningful only after the first state.
+    return true;
+  }
+  ApplyLoad(std::move(load), peer->reported);
+  peer->reported_at = BootTimeNow();
+  peer->sent_since_report = 0;
+  return true;
+}
+
+/// Builds a load for all links. Call chains change slowly and would be a third
+/// of it, so they are included only after a change or after kChainsInterval.
+LoadFrame PeerTable::MakeLoadFrame(const StateFrame& state) {
+  const Millis now = BootTimeNow();
+  LoadFrame load = LoadOf(state);
+  if (now - this->chains_announced_at < kChainsInterval &&
+      !control::HaveChainsChanged(this->announced_chains, load.roots)) {
+    ClearChains(load.roots);
+    return load;
+  }
+  this->announced_chains = load.roots;
+  this->chains_announced_at = now;
+  return load;
+}
+
+/// Sends the state on this link, or only the load if nothing else has changed.
+void PeerTable::SendState(AcceptedLink& entry) {
+  const StateFrame state = this->events.make_state();
+  const bool is_load_only = entry.protocol_version >= kVersionLoadFrames &&
+                            entry.announced_revision == this->state_revision &&
+                            EqualExceptLoad(state, this->self->reported);
+  if (is_load_only) {
+    LoadFrame load = LoadOf(state);
+    ClearChains(load.roots);
+    Append(load, entry.link->OutputBuffer());
+  } else {
+    Append(state, entry.link->OutputBuffer());
+    // Changes not yet counted in `state_revision` are sent again by
+    // AnnounceState().
+    entry.announced_revision = this->state_revision;
+  }
+  entry.link->ScheduleFlush();
+}
+
+void PeerTable::AnnounceState() {
+  const StateFrame state = this->events.make_state();
+  if (this->self->reported.service != state.service) {
+    this->by_service.clear();
+  }
+  const bool is_changed = !EqualExceptLoad(state, this->self->reported);
+  const bool is_leaving = state.state == InstanceState::kDraining;
+  if (is_changed && !is_leaving &&
+      EqualExceptLoadAndVersion(state, this->self->reported)) {
+    ++this->state_revision;
+    this->self->reported = state;
+    this->AnnouncePolicyVersion();
+    return;
+  }
+  if (this->self->reported.instance != state.instance ||
+      this->self->reported.started_at != state.started_at) {
+    this->self->health = control::TargetHealth();
+  }
+  this->state_revision += is_changed || is_leaving ? 1 : 0;
+  this->self->reported = state;
+  this->self->reported_at = BootTimeNow();
+  this->self->sent_since_report = 0;
+  this->last_announced = this->self->reported_at;
+  std::string whole;
+  std::string load;
+  for (auto& [id, entry] : this->accepted) {
+    const bool is_up_to_date = entry.announced_revision == this->state_revision;
+    std::string& frame =
+        is_up_to_date && entry.protocol_version >= kVersionLoadFrames ? load
+                                                                      : whole;
+    if (frame.empty() && &frame == &load) {
+      Append(this->MakeLoadFrame(state), load);
+    } else if (frame.empty()) {
+      Append(state, whole);
+    }
+    entry.announced_revision = this->state_revision;
+    entry.link->OutputBuffer() += frame;
+    entry.link->ScheduleFlush();
+  }
+}
+
+}  // namespace almondlink::relay
--- a/libs/relay/src/quota_exchange.cc
+++ b/libs/relay/src/quota_exchange.cc
@@ -10,28 +10,30 @@
 
 namespace {
 
-/// A node that has just started may not know most others yet, and would take
-/// itself for the lender of accounts that are not its own: it lends nothing
-/// before. Links are there within some two hundred milliseconds; those who
-/// start with it may be as much later again.
-constexpr Millis kSettleTime{250};
-constexpr Millis kAllSettled{1000};
-/// A tick that comes this late means that the host stood still, and others may
-/// lend in its place: they suspect it after 0.7 s.
-constexpr Millis kSuspended{600};
+/// A node that has just started may not know most others yet and would take
+/// itself for the lender of their accounts, so it does not lend before
+/// `kLendDelay`. Links are established within about 200 ms; nodes that start
+/// together may differ by as much again, hence `kStartupTime`.
+constexpr Millis kLendDelay{250};
+constexpr Millis kStartupTime{1000};
+/// A tick that is this late means that the host was suspended. Others may lend
+/// in its place meanwhile: they suspect it after 0.7 s.
+constexpr Millis kSuspensionGap{600};
 
 control::QuotaLimit LimitOf(const policy::ClientAccount& account) {
   return {account.limit.per_s, account.limit.burst};
 }
 
-/// Whether calls and asks reach the node and it knows of loans. One that is
-/// about to stop hands its accounts over.
-bool MayLend(const Peer& peer) {
-  return !peer.told.is_stopping && peer.IsReachable() &&
-         (peer.is_self || (!peer.is_suspect && peer.dialect >= kLendsQuota));
+/// Whether the node can be a lender: it is reachable and supports loans. A
+/// stopping node hands its accounts over.
+bool CanLend(const Peer& peer) {
+  return !peer.reported.is_stopping && peer.IsReachable() &&
+         (peer.is_self ||
+          (!peer.is_suspect && peer.protocol_version >= kVersionQuotaLending));
 }
 
-/// Rank of a node among the lenders of an account: the highest one lends.
+/// Rank of a node as lender of an account. The node with the highest rank
+/// lends.
 std::uint64_t RankOf(const Peer& peer, policy::AccountKey account) {
   return StableHash(peer.node.name, account.Value());
 }
@@ -49,16 +51,16 @@
 
 void QuotaExchange::SetTable(policy::RouteTablePointer table_in) {
   if (this->table == nullptr) {
-    this->ready_since = BootTimeNow();
+    this->first_policy_at = BootTimeNow();
   }
   this->table = std::move(table_in);
 }
 
 PeerPointer QuotaExchange::Lender(policy::AccountKey account) const {
   PeerPointer lender = this->peers.SelfPeer();
-  std::uint64_t highest = MayLend(*lender) ? RankOf(*lender, account) : 0;
+  std::uint64_t highest = CanLend(*lender) ? RankOf(*lender, account) : 0;
   for (const PeerPointer& peer : this->peers.All()) {
-    if (peer->is_self || !MayLend(*peer)) {
+    if (peer->is_self || !CanLend(*peer)) {
       continue;
     }
     const std::uint64_t rank = RankOf(*peer, account);
@@ -76,42 +78,44 @@
 }
 
 bool QuotaExchange::IsSettled(Millis now) const {
-  return this->table != nullptr && now - this->ready_since >= kSettleTime;
+  return this->table != nullptr && now - this->first_policy_at >= kLendDelay;
 }
 
-bool QuotaExchange::MayBeUnsettled(Millis now) const {
-  return now - this->ready_since < kAllSettled;
+bool QuotaExchange::IsStartingUp(Millis now) const {
+  return now - this->first_policy_at < kStartupTime;
 }
 
-control::QuotaDecision QuotaExchange::Take(const policy::ClientAccount& account,
-                                           Millis now) {
+control::QuotaDecision QuotaExchange::TakeToken(
+    const policy::ClientAccount& account,
+    Millis now) {
   if (account.limit.per_s <= 0) {
     return control::QuotaDecision::kTaken;
   }
   control::QuotaBorrower& purse = this->purses[account.key.Value()];
   const control::QuotaDecision answer = control::TakeQuota(now, purse);
   if (answer == control::QuotaDecision::kTaken) {
-    // Ahead of need.
-    this->Ask(account, 0, now);
+    // Refills the stock before it is used up.
+    this->RequestTokens(account, 0, now);
   }
   return answer;
 }
 
-bool QuotaExchange::TakeForWaiting(const policy::ClientAccount& account,
-                                   Millis now) {
+bool QuotaExchange::TakeTokenForQueued(const policy::ClientAccount& account,
+                                       Millis now) {
   control::QuotaBorrower& purse = this->purses[account.key.Value()];
   return control::TakeBorrowed(now, purse) || control::TakeFallback(now, purse);
 }
 
-void QuotaExchange::GiveBack(const policy::ClientAccount& account, Millis now) {
+void QuotaExchange::ReturnToken(const policy::ClientAccount& account,
+                                Millis now) {
   if (account.limit.per_s > 0) {
     control::GiveBack(now, this->purses[account.key.Value()]);
   }
 }
 
-void QuotaExchange::Ask(const policy::ClientAccount& account,
-                        std::uint32_t waiting,
-                        Millis now) {
+void QuotaExchange::RequestTokens(const policy::ClientAccount& account,
+                                  std::uint32_t waiting,
+                                  Millis now) {
   control::QuotaBorrower& purse = this->purses[account.key.Value()];
   const std::uint32_t wanted = control::TokensToRequest(now, waiting, purse);
   if (wanted == 0) {
@@ -122,36 +126,40 @@
     this->OnLoan(this->LendTo(account.key, wanted, now));
     return;
   }
-  Append(QuotaAskFrame{account.key.Value(), wanted}, lender->link->Out());
-  lender->link->FlushSoon();
-  lender->answer_due = now;
+  Append(QuotaRequestFrame{account.key.Value(), wanted},
+         lender->link->OutputBuffer());
+  lender->link->ScheduleFlush();
+  lender->last_query_at = now;
 }
 
-bool QuotaExchange::IsEmpty(const policy::ClientAccount& account,
-                            Millis now) const {
+bool QuotaExchange::IsExhausted(const policy::ClientAccount& account,
+                                Millis now) const {
   const auto purse = this->purses.find(account.key.Value());
   return purse != this->purses.end() && now < purse->second.exhausted_until &&
          !control::IsShortWait(purse->second.wait);
 }
 
-bool QuotaExchange::IsSilent(const policy::ClientAccount& account,
-                             Millis now) const {
+bool QuotaExchange::IsLenderSilent(const policy::ClientAccount& account,
+                                   Millis now) const {
   const auto purse = this->purses.find(account.key.Value());
   return purse == this->purses.end() ||
          control::IsLenderSilent(now, purse->second);
 }
 
-Millis QuotaExchange::WaitOf(const policy::ClientAccount& account) const {
+Millis QuotaExchange::TimeUntilToken(
+    const policy::ClientAccount& account) const {
   const auto purse = this->purses.find(account.key.Value());
   return purse == this->purses.end() ? Millis{0} : purse->second.wait;
 }
 
-double QuotaExchange::DemandOf(const policy::ClientAccount& account) const {
+double QuotaExchange::DemandPerSecond(
+    const policy::ClientAccount& account) const {
   const auto purse = this->purses.find(account.key.Value());
   return purse == this->purses.end() ? 0 : purse->second.demand.per_s;
 }
 
-double QuotaExchange::LentOf(const policy::ClientAccount& account) const {
+double QuotaExchange::LentPerSecond(
+    const policy::ClientAccount& account) const {
   const auto purse = this->purses.find(account.key.Value());
   return purse == this->purses.end() ? 0 : purse->second.lent.per_s;
 }
@@ -167,23 +175,24 @@
   answer.is_lender =
       known != nullptr && this->IsSettled(now) && lender->is_self;
   if (!answer.is_lender) {
-    // Who asks here may have found the other one silent: it is looked at from
-    // here too, within a tenth of a second.
-    lender->answer_due = now;
+    // The requesting node may have found the other lender silent. Checking it
+    // from here too detects that within a tenth of a second.
+    lender->last_query_at = now;
     return answer;
   }
   const control::QuotaLimit limit = LimitOf(*known);
   if (limit.per_s <= 0) {
-    // The limit was taken away by a version that the asking node lacks.
+    // A newer policy, which the requesting node lacks, has removed the limit.
     answer.loan.granted = wanted;
     return answer;
   }
-  this->NoteSuspension(now);
-  const PeerTable::Reach reach = this->peers.ReachOfNodes(now);
-  const double part = control::LendableShare(reach.reached, reach.known);
+  this->ResetAfterSuspension(now);
+  const PeerTable::Reachability reach = this->peers.MeasureReachability(now);
+  const double part = control::LendableShare(reach.reachable, reach.known);
   auto bucket = this->buckets.find(account.Value());
   if (bucket == this->buckets.end()) {
-    const Millis since = std::max(this->view_since, this->ready_since);
+    const Millis since =
+        std::max(this->lender_set_since, this->first_policy_at);
     bucket = this->buckets
                  .emplace(account.Value(),
                           control::StartBucket(this->settings.quotas, limit,
@@ -195,17 +204,17 @@
   return answer;
 }
 
-void QuotaExchange::OnAsk(const PeerLinkPointer& link,
-                          const QuotaAskFrame& ask) {
+void QuotaExchange::OnQuotaRequest(const PeerLinkPointer& link,
+                                   const QuotaRequestFrame& ask) {
   const QuotaLoanFrame answer =
       this->LendTo(policy::AccountKey(ask.account), ask.wanted, BootTimeNow());
-  Append(answer, link->Out());
-  link->FlushSoon();
+  Append(answer, link->OutputBuffer());
+  link->ScheduleFlush();
 }
 
 void QuotaExchange::OnLoan(const QuotaLoanFrame& frame) {
   const auto purse = this->purses.find(frame.account);
-  // Without a lender the ask stays out, as one that is not answered.
+  // If that node is not the lender, the request counts as unanswered.
   if (purse == this->purses.end() || !frame.is_lender) {
     return;
   }
@@ -213,24 +222,25 @@
   this->on_tokens(policy::AccountKey(frame.account));
 }
 
-/// After this host stood still: others have lent in its place.
-void QuotaExchange::NoteSuspension(Millis now) {
-  if (now - this->last_tick > kSuspended) {
+/// Discards the buckets after a suspension of this host, since others have lent
+/// in its place.
+void QuotaExchange::ResetAfterSuspension(Millis now) {
+  if (now - this->last_tick > kSuspensionGap) {
     this->buckets.clear();
-    this->view_since = now;
+    this->lender_set_since = now;
   }
 }
 
 void QuotaExchange::Tick(Millis now) {
-  this->NoteSuspension(now);
-  std::uint64_t seen = 0;
+  this->ResetAfterSuspension(now);
+  std::uint64_t set_hash = 0;
   for (const PeerPointer& peer : this->peers.All()) {
-    // The order of the nodes does not matter.
-    seen += MayLend(*peer) ? StableHash(peer->node.name) : 0;
+    // A sum, so that the order of the nodes does not matter.
+    set_hash += CanLend(*peer) ? StableHash(peer->node.name) : 0;
   }
-  if (seen != this->view) {
-    this->view = seen;
-    this->view_since = now;
+  if (set_hash != this->lender_set_hash) {
+    this->lender_set_hash = set_hash;
+    this->lender_set_since = now;
   }
   this->last_tick = now;
   for (auto entry = this->buckets.begin(); entry != this->buckets.end();) {
