--- a/almondlink/replay_command.cc
+++ b/almondlink/replay_command.cc
@@ -33,14 +33,14 @@
 /// point between two sets.
 constexpr std::int32_t kUsualSeeds = 6;
 
-using model::Control;
+using model::ControlKind;
 using model::Outcome;
 
 double Figure(const Outcome& outcome,
               const char* name,
               const std::string& criticality) {
   double value = 0;
-  model::FigureOf(outcome, name, criticality, value);
+  model::FindFigure(outcome, name, criticality, value);
   return value;
 }
 
@@ -51,7 +51,7 @@
 }
 
 void PrintRow(const std::string& name,
-              Control control,
+              ControlKind control,
               const Outcome& outcome) {
   const char* const figure = "whole_share_in_cause";
   const std::size_t slash = name.rfind('/');
@@ -83,11 +83,12 @@
 
 /// What a control is compared with: the baselines, and for the relay our
 /// decisions before it.
-std::vector<Control> Others(Control control) {
-  if (control == Control::kRelay) {
-    return {Control::kAlmondlink, Control::kNone, Control::kFixedLimit};
+std::vector<ControlKind> Others(ControlKind control) {
+  if (control == ControlKind::kRelay) {
+    return {ControlKind::kAlmondlink, ControlKind::kNone,
+            ControlKind::kFixedLimit};
   }
-  return {Control::kNone, Control::kFixedLimit};
+  return {ControlKind::kNone, ControlKind::kFixedLimit};
 }
 
 Result<int> Replay(const Arguments& arguments) {
@@ -113,15 +114,15 @@
     const Outcome outcome = model::Replay(scenario, scenario.control);
     PrintRow(path, scenario.control, outcome);
     if (FLAGS_compare) {
-      for (const Control control : Others(scenario.control)) {
+      for (const ControlKind control : Others(scenario.control)) {
         PrintRow(path, control, model::Replay(scenario, control));
       }
     }
     if (FLAGS_goodput) {
       PrintGoodput(outcome);
     }
-    for (const model::Difference& difference :
-         model::Compare(scenario, outcome)) {
+    for (const model::UnmetExpectation& difference :
+         model::FindUnmetExpectations(scenario, outcome)) {
       std::cout << config::AtLine(path, difference.line, difference.text)
                 << "\n";
       exit_code = kExitDiffers;
--- a/almondlink/replay_experiment.cc
+++ b/almondlink/replay_experiment.cc
@@ -15,9 +15,9 @@
 
 namespace {
 
-using model::Series;
-using model::Spread;
+using model::FigureStatistics;
 using model::Variant;
+using model::VariantOutcomes;
 
 constexpr double kSecondsPerBucket = model::kBucketMs / 1000;
 
@@ -57,47 +57,48 @@
 
 void PrintTable(const std::vector<std::string>& names,
                 const std::vector<Variant>& variants,
-                const std::vector<Series>& all) {
+                const std::vector<VariantOutcomes>& all) {
   std::printf("%-24s %-22s", "trace", "variant");
   for (const Column& column : kColumns) {
     std::printf(" %8s %6s", column.title, "dev.");
   }
   std::printf(" %9s %6s\n", "change", "dev.");
-  for (const Series& series : all) {
-    const Series& defaults = all[series.trace * variants.size()];
-    std::printf("%-24s %-22s", names[series.trace].c_str(),
-                model::NameOf(variants[series.variant]).c_str());
+  for (const VariantOutcomes& series : all) {
+    const VariantOutcomes& defaults =
+        all[series.scenario_index * variants.size()];
+    std::printf("%-24s %-22s", names[series.scenario_index].c_str(),
+                model::FormatVariant(variants[series.variant_index]).c_str());
     for (const Column& column : kColumns) {
-      const Spread spread =
-          model::SpreadOf(series, defaults, column.figure, column.criticality);
+      const FigureStatistics spread = model::ComputeStatistics(
+          series, defaults, column.figure, column.criticality);
       std::printf(" %7.1f%% %6.2f", spread.mean * column.scale,
                   spread.deviation * column.scale);
     }
-    const Spread weighted = model::SpreadOf(
+    const FigureStatistics weighted = model::ComputeStatistics(
         series, defaults, kColumns[0].figure, kColumns[0].criticality);
-    std::printf(" %+8.2f%% %6.2f\n", weighted.change * kColumns[0].scale,
+    std::printf(" %+8.2f%% %6.2f\n", weighted.mean_change * kColumns[0].scale,
                 weighted.change_deviation * kColumns[0].scale);
   }
 }
 
 std::string CsvOf(const std::vector<std::string>& names,
                   const std::vector<Variant>& variants,
-                  const std::vector<Series>& all) {
+                  const std::vector<VariantOutcomes>& all) {
   std::ostringstream text;
   text << "trace,setting,value,seed";
   for (const Column& column : kColumns) {
     text << "," << column.title;
   }
   text << ",recovery_ms\n";
-  for (const Series& series : all) {
-    const Variant& variant = variants[series.variant];
+  for (const VariantOutcomes& series : all) {
+    const Variant& variant = variants[series.variant_index];
     for (std::size_t i = 0; i < series.outcomes.size(); ++i) {
-      text << names[series.trace] << "," << variant.setting << ","
+      text << names[series.scenario_index] << "," << variant.setting << ","
            << variant.value << "," << i + 1;
       for (const Column& column : kColumns) {
         double value = 0;
-        model::FigureOf(series.outcomes[i], column.figure, column.criticality,
-                        value);
+        model::FindFigure(series.outcomes[i], column.figure, column.criticality,
+                          value);
         text << "," << value;
       }
       text << "," << series.outcomes[i].recovery_ms << "\n";
@@ -107,13 +108,14 @@
 }
 
 /// Shares over time of all variants on one trace, a block for each variant.
-std::string PlotDataOf(const std::vector<const Series*>& variants) {
+std::string PlotDataOf(const std::vector<const VariantOutcomes*>& variants) {
   std::ostringstream text;
-  for (const Series* series : variants) {
-    const std::vector<double> all = model::ShareOverTime(*series, "");
+  for (const VariantOutcomes* series : variants) {
+    const std::vector<double> all = model::CompletedShareOverTime(*series, "");
     const std::vector<double> critical =
-        model::ShareOverTime(*series, "critical");
-    const std::vector<double> normal = model::ShareOverTime(*series, "normal");
+        model::CompletedShareOverTime(*series, "critical");
+    const std::vector<double> normal =
+        model::CompletedShareOverTime(*series, "normal");
     for (std::size_t i = 0; i < all.size(); ++i) {
       // Nothing asked: a gap in the line.
       const auto put = [&text](double share) {
@@ -164,16 +166,16 @@
 Result<void> WritePlots(const std::string& folder,
                         const std::vector<std::string>& names,
                         const std::vector<Variant>& variants,
-                        const std::vector<Series>& all) {
+                        const std::vector<VariantOutcomes>& all) {
   std::vector<std::string> titles;
   titles.reserve(variants.size());
   for (const Variant& variant : variants) {
-    titles.push_back(model::NameOf(variant));
+    titles.push_back(model::FormatVariant(variant));
   }
   for (std::size_t trace = 0; trace < names.size(); ++trace) {
-    std::vector<const Series*> of_trace;
-    for (const Series& series : all) {
-      if (series.trace == trace) {
+    std::vector<const VariantOutcomes*> of_trace;
+    for (const VariantOutcomes& series : all) {
+      if (series.scenario_index == trace) {
         of_trace.push_back(&series);
       }
     }
@@ -206,7 +208,7 @@
   for (const std::string& path : request.traces) {
     BOOST_LEAF_AUTO(text, config::ReadFile(path));
     BOOST_LEAF_AUTO(scenario, model::ParseScenario(path, text, ""));
-    if (scenario.control != model::Control::kRelay) {
+    if (scenario.control != model::ControlKind::kRelay) {
       return Fail(ErrorKind::kBadSettings,
                   path + ": only traces of a relay can be varied");
     }
--- a/bench/added_latency.cc
+++ b/bench/added_latency.cc
@@ -59,7 +59,7 @@
   return times;
 }
 
-double At(const std::vector<double>& sorted, double share) {
+double Percentile(const std::vector<double>& sorted, double share) {
   return sorted.empty() ? 0
                         : sorted[std::min(
                               sorted.size() - 1,
@@ -70,7 +70,8 @@
 void Print(const char* name, const std::vector<double>& times) {
   std::printf(
       "%-10s %7zu answered   p50 %.3f ms   p99 %.3f ms   p99.9 %.3f ms\n", name,
-      times.size(), At(times, 0.5), At(times, 0.99), At(times, 0.999));
+      times.size(), Percentile(times, 0.5), Percentile(times, 0.99),
+      Percentile(times, 0.999));
 }
 
 }  // namespace
@@ -109,8 +110,8 @@
     Print("direct", straight);
     Print("two nodes", two_nodes);
     std::printf("added      p50 %.3f ms   p99 %.3f ms\n",
-                At(two_nodes, 0.5) - At(straight, 0.5),
-                At(two_nodes, 0.99) - At(straight, 0.99));
+                Percentile(two_nodes, 0.5) - Percentile(straight, 0.5),
+                Percentile(two_nodes, 0.99) - Percentile(straight, 0.99));
   }
   return 0;
 }
--- a/bench/frame_cost.cc
+++ b/bench/frame_cost.cc
@@ -17,7 +17,7 @@
     "User-Agent: client/1.0\r\n";
 const std::string kBody(1500, 'b');
 
-double MicrosEach(const std::function<std::size_t()>& round) {
+double MeanMicros(const std::function<std::size_t()>& round) {
   std::size_t bytes = 0;
   const auto start = std::chrono::steady_clock::now();
   for (int i = 0; i < kRounds; ++i) {
@@ -92,8 +92,8 @@
 }  // namespace almondlink
 
 int main() {
-  const double flat = almondlink::MicrosEach(almondlink::FlatRound);
-  const double cbor = almondlink::MicrosEach(almondlink::CborRound);
+  const double flat = almondlink::MeanMicros(almondlink::FlatRound);
+  const double cbor = almondlink::MeanMicros(almondlink::CborRound);
   std::printf("flat %.2f us, CBOR trees %.2f us for a call and its answer\n",
               flat, cbor);
   return 0;
--- a/bench/node_cost.cc
+++ b/bench/node_cost.cc
@@ -106,7 +106,7 @@
 }
 
 /// Memory of the folds that grow with the deployment, in this process.
-void MeasureFolds() {
+void MeasureClaimMemory() {
   constexpr int kKeys = 200'000;
   const double before = OwnResidentKb();
   almondlink::control::Claims claims;
@@ -139,7 +139,7 @@
 
 int main(int argc, char** argv) {
   gflags::ParseCommandLineFlags(&argc, &argv, true);
-  MeasureFolds();
+  MeasureClaimMemory();
   Cluster cluster(23700, "bench-node-cost");
   cluster.StartLog();
   const Instance& shop =
--- a/bench/scale.cc
+++ b/bench/scale.cc
@@ -26,14 +26,14 @@
 using almondlink::test::InstanceSpec;
 
 /// Resource use of one process.
-struct Use {
+struct ResourceUsage {
   double cpu_s = 0;
   double resident_mb = 0;
   double threads = 0;
 };
 
-Use ReadUse(pid_t pid) {
-  Use use;
+ResourceUsage ReadResourceUsage(pid_t pid) {
+  ResourceUsage usage;
   std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
   std::string word;
   std::vector<std::string> words;
@@ -41,31 +41,31 @@
     words.push_back(word);
   }
   if (words.size() < 24) {
-    return use;
+    return usage;
   }
   const double ticks = static_cast<double>(sysconf(_SC_CLK_TCK));
   const double page = static_cast<double>(sysconf(_SC_PAGESIZE));
-  use.cpu_s = (std::stod(words[13]) + std::stod(words[14])) / ticks;
-  use.threads = std::stod(words[19]);
-  use.resident_mb = std::stod(words[23]) * page / 1e6;
-  return use;
+  usage.cpu_s = (std::stod(words[13]) + std::stod(words[14])) / ticks;
+  usage.threads = std::stod(words[19]);
+  usage.resident_mb = std::stod(words[23]) * page / 1e6;
+  return usage;
 }
 
 /// Sums over all nodes at one time.
 struct Snapshot {
-  Use use;
+  ResourceUsage usage;
   double gossip_bytes = 0;
   double log_reads = 0;
   double log_appends = 0;
 };
 
-Snapshot Take(Cluster& cluster, const std::vector<Instance*>& nodes) {
+Snapshot TakeSnapshot(Cluster& cluster, const std::vector<Instance*>& nodes) {
   Snapshot sum;
   for (const Instance* node : nodes) {
-    const Use use = ReadUse(node->node->Id());
-    sum.use.cpu_s += use.cpu_s;
-    sum.use.resident_mb += use.resident_mb;
-    sum.use.threads += use.threads;
+    const ResourceUsage usage = ReadResourceUsage(node->node->Id());
+    sum.usage.cpu_s += usage.cpu_s;
+    sum.usage.resident_mb += usage.resident_mb;
+    sum.usage.threads += usage.threads;
     const nlohmann::json dump = cluster.Dump(*node);
     if (dump.is_null()) {
       continue;
@@ -88,8 +88,9 @@
   std::printf(
       "%4zu nodes %-8s per node: %.2f %% of a core, %.1f MB, %.0f threads, "
       "gossip %.0f B/s sent, log %.3f reads/s %.3f appends/s\n",
-      count, name, 100 * (after.use.cpu_s - before.use.cpu_s) / seconds / nodes,
-      after.use.resident_mb / nodes, after.use.threads / nodes,
+      count, name,
+      100 * (after.usage.cpu_s - before.usage.cpu_s) / seconds / nodes,
+      after.usage.resident_mb / nodes, after.usage.threads / nodes,
       (after.gossip_bytes - before.gossip_bytes) / seconds / nodes,
       (after.log_reads - before.log_reads) / seconds / nodes,
       (after.log_appends - before.log_appends) / seconds / nodes);
@@ -123,15 +124,15 @@
               count, took);
   cluster.WaitReady(count);
   Pause(5);
-  const Snapshot first = Take(cluster, nodes);
+  const Snapshot first = TakeSnapshot(cluster, nodes);
   Pause(FLAGS_seconds);
-  const Snapshot second = Take(cluster, nodes);
+  const Snapshot second = TakeSnapshot(cluster, nodes);
   Print("idle", count, first, second, FLAGS_seconds);
   // Churn: a restart every two seconds among the second half of the nodes; the
   // first half is measured.
   const std::vector<Instance*> kept(
       nodes.begin(), nodes.begin() + static_cast<std::ptrdiff_t>(count / 2));
-  const Snapshot kept_before = Take(cluster, kept);
+  const Snapshot kept_before = TakeSnapshot(cluster, kept);
   for (int i = 0; i < FLAGS_seconds / 2; ++i) {
     Instance& victim =
         *nodes[count / 2 + static_cast<std::size_t>(i) % (count / 2)];
@@ -139,7 +140,8 @@
     cluster.StartNode(victim);
     Pause(2);
   }
-  Print("churn", kept.size(), kept_before, Take(cluster, kept), FLAGS_seconds);
+  Print("churn", kept.size(), kept_before, TakeSnapshot(cluster, kept),
+        FLAGS_seconds);
   for (int version = 2; version <= 4; ++version) {
     output.clear();
     cluster.Release(almondlink::test::ShopBundle(version), &output);
--- a/bench/target_answers.cc
+++ b/bench/target_answers.cc
@@ -22,7 +22,9 @@
 /// process; processor time is that of the client's thread.
 
 DEFINE_int32(requests, 10000, "requests a line");
-DEFINE_int32(together, 32, "requests under way at once where answers are late");
+DEFINE_int32(together,
+             32,
+             "requests under way at once where answers are late");
 DEFINE_int32(rate, 2000, "requests a second where sockets are counted");
 
 namespace {
@@ -39,19 +41,19 @@
 
 constexpr std::uint16_t kPort = 23110;
 constexpr int kNoSecondAnswer = -1;
-constexpr const char* kId = "Almondlink-Attempt-Id";
+constexpr const char* kAttemptIdHeader = "Almondlink-Attempt-Id";
 
 /// How the target behaves.
-struct Behaviour {
-  int pause_ms = kNoSecondAnswer;
+struct TargetBehaviour {
+  int second_answer_delay_ms = kNoSecondAnswer;
   bool returns_id = true;
 };
 
 class TargetSession : public std::enable_shared_from_this<TargetSession> {
  public:
-  TargetSession(tcp::socket socket_in, Behaviour behaviour_in)
+  TargetSession(tcp::socket socket_in, TargetBehaviour behaviour_in)
       : socket(std::move(socket_in)),
-        pause(this->socket.get_executor()),
+        second_answer_timer(this->socket.get_executor()),
         behaviour(behaviour_in) {
     this->socket.set_option(tcp::no_delay(true));
   }
@@ -72,7 +74,7 @@
     this->answer = {http::status::ok, 11};
     this->answer.body() = std::string(this->request.target());
     if (this->behaviour.returns_id) {
-      this->answer.set(kId, this->request[kId]);
+      this->answer.set(kAttemptIdHeader, this->request[kAttemptIdHeader]);
     }
     this->answer.keep_alive(this->request.keep_alive());
     this->answer.prepare_payload();
@@ -95,20 +97,20 @@
         self->Read();
       }
     };
-    if (this->behaviour.pause_ms == kNoSecondAnswer) {
+    if (this->behaviour.second_answer_delay_ms == kNoSecondAnswer) {
       next();
       return;
     }
-    this->pause.expires_after(
-        std::chrono::milliseconds(this->behaviour.pause_ms));
-    this->pause.async_wait(
+    this->second_answer_timer.expires_after(
+        std::chrono::milliseconds(this->behaviour.second_answer_delay_ms));
+    this->second_answer_timer.async_wait(
         [self = this->shared_from_this(),
          next](boost::system::error_code /*error*/) { self->Write(next); });
   }
 
   tcp::socket socket;
-  asio::steady_timer pause;
-  const Behaviour behaviour;
+  asio::steady_timer second_answer_timer;
+  const TargetBehaviour behaviour;
   boost::beast::flat_buffer buffer;
   http::request<http::string_body> request;
   http::response<http::string_body> answer;
@@ -116,7 +118,7 @@
 
 class Target {
  public:
-  explicit Target(Behaviour behaviour_in)
+  explicit Target(TargetBehaviour behaviour_in)
       : behaviour(behaviour_in),
         acceptor(this->loop, {asio::ip::make_address("127.0.0.1"), kPort}) {
     this->Accept();
@@ -139,21 +141,21 @@
         });
   }
 
-  const Behaviour behaviour;
+  const TargetBehaviour behaviour;
   asio::io_context loop{1};
   tcp::acceptor acceptor;
   std::thread thread;
 };
 
-struct Figures {
-  int foreign = 0;
-  int failed = 0;
+struct LoadResult {
+  int foreign_answers = 0;
+  int failed_requests = 0;
   std::vector<double> times_us;
-  double processor_us = 0;
+  double cpu_us = 0;
   std::uint64_t connects = 0;
 };
 
-double ThreadMicros() {
+double ThreadCpuMicros() {
   rusage usage{};
   getrusage(RUSAGE_THREAD, &usage);
   const auto micros = [](const timeval& time) {
@@ -163,23 +165,25 @@
   return micros(usage.ru_utime) + micros(usage.ru_stime);
 }
 
-/// `together` requests under way until `count` are done; `gap`: pause before
-/// each start.
+/// `concurrency` requests under way until `count` are done; `gap`: pause
+/// before each start.
 class Load {
  public:
   Load(bool needs_no_id, int count_in, std::chrono::microseconds gap_in)
-      : client(loop, Config(needs_no_id)), left(count_in), gap(gap_in) {}
-
-  Figures Run(int together) {
-    const double before = ThreadMicros();
-    this->next = Clock::now();
-    for (int i = 0; i < together; ++i) {
+      : client(loop, Config(needs_no_id)),
+        requests_left(count_in),
+        gap(gap_in) {}
+
+  LoadResult Run(int concurrency) {
+    const double before = ThreadCpuMicros();
+    this->next_start = Clock::now();
+    for (int i = 0; i < concurrency; ++i) {
       this->Start();
     }
     this->loop.run();
-    this->figures.processor_us = ThreadMicros() - before;
-    this->figures.connects = this->client.Counts().connects;
-    return std::move(this->figures);
+    this->result.cpu_us = ThreadCpuMicros() - before;
+    this->result.connects = this->client.Counts().connects;
+    return std::move(this->result);
   }
 
  private:
@@ -191,8 +195,8 @@
   }
 
   void Start() {
-    if (this->left == 0) {
-      if (--this->open == 0) {
+    if (this->requests_left == 0) {
+      if (--this->active_senders == 0) {
         this->loop.stop();
       }
       return;
@@ -201,15 +205,15 @@
       this->Send();
       return;
     }
-    this->next += this->gap;
+    this->next_start += this->gap;
     const auto timer = std::make_shared<asio::steady_timer>(this->loop);
-    timer->expires_at(this->next);
+    timer->expires_at(this->next_start);
     timer->async_wait(
         [this, timer](boost::system::error_code /*error*/) { this->Send(); });
   }
 
   void Send() {
-    const std::string path = "/" + std::to_string(--this->left);
+    const std::string path = "/" + std::to_string(--this->requests_left);
     TargetRequest request;
     request.method = "GET";
     request.target = path;
@@ -217,34 +221,34 @@
     const Clock::time_point start = Clock::now();
     this->client.Send(std::move(request),
                       [this, path, start](const TargetAnswer& answer) {
-                        this->Note(answer, path, start);
+                        this->RecordAnswer(answer, path, start);
                         asio::post(this->loop, [this]() { this->Start(); });
                       });
   }
 
-  void Note(const TargetAnswer& answer,
-            const std::string& path,
-            Clock::time_point start) {
-    this->figures.times_us.push_back(
+  void RecordAnswer(const TargetAnswer& answer,
+                    const std::string& path,
+                    Clock::time_point start) {
+    this->result.times_us.push_back(
         std::chrono::duration<double, std::micro>(Clock::now() - start)
             .count());
     const bool is_whole = answer.error == ErrorKind::kNone;
     const bool is_own =
         std::string(answer.body.begin(), answer.body.end()) == path;
-    this->figures.failed += is_whole ? 0 : 1;
-    this->figures.foreign += is_whole && !is_own ? 1 : 0;
+    this->result.failed_requests += is_whole ? 0 : 1;
+    this->result.foreign_answers += is_whole && !is_own ? 1 : 0;
   }
 
   asio::io_context loop{1};
   TargetClient client;
-  int left;
-  int open = 1;
+  int requests_left;
+  int active_senders = 1;
   const std::chrono::microseconds gap;
-  Clock::time_point next;
-  Figures figures;
+  Clock::time_point next_start;
+  LoadResult result;
 
  public:
-  void SetTogether(int together) { this->open = together; }
+  void SetActiveSenders(int concurrency) { this->active_senders = concurrency; }
 };
 
 int SocketsInTimeWait() {
@@ -259,63 +263,64 @@
   return count;
 }
 
-struct Way {
+struct ConnectionMode {
   const char* name;
   bool returns_id;
   bool needs_no_id;
 };
 
-Figures Measure(const Way& way,
-                int pause_ms,
-                int count,
-                int together,
-                std::chrono::microseconds gap) {
-  Target target({pause_ms, way.returns_id});
-  Load load(way.needs_no_id, count, gap);
-  load.SetTogether(together);
-  Figures figures = load.Run(together);
-  std::sort(figures.times_us.begin(), figures.times_us.end());
-  return figures;
+LoadResult Measure(const ConnectionMode& mode,
+                   int pause_ms,
+                   int count,
+                   int concurrency,
+                   std::chrono::microseconds gap) {
+  Target target({pause_ms, mode.returns_id});
+  Load load(mode.needs_no_id, count, gap);
+  load.SetActiveSenders(concurrency);
+  LoadResult result = load.Run(concurrency);
+  std::sort(result.times_us.begin(), result.times_us.end());
+  return result;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   gflags::ParseCommandLineFlags(&argc, &argv, true);
-  const Way ways[] = {{"kept by order alone", false, true},
-                      {"kept by the id", true, false},
-                      {"one a request", false, false}};
+  const ConnectionMode modes[] = {{"kept by order alone", false, true},
+                                  {"kept by the id", true, false},
+                                  {"one a request", false, false}};
   // First: sockets in TIME_WAIT stay for a minute.
-  for (const Way& way : ways) {
+  for (const ConnectionMode& mode : modes) {
     const int seconds = 5;
     const std::chrono::microseconds gap(1'000'000 / FLAGS_rate);
     const int before = SocketsInTimeWait();
-    const Figures paced =
-        Measure(way, kNoSecondAnswer, FLAGS_rate * seconds, 1, gap);
+    const LoadResult paced =
+        Measure(mode, kNoSecondAnswer, FLAGS_rate * seconds, 1, gap);
     std::printf(
         "%-20s %d a second for %d s: %d sockets in TIME_WAIT more, %d "
         "failed\n",
-        way.name, FLAGS_rate, seconds, SocketsInTimeWait() - before,
-        paced.failed);
+        mode.name, FLAGS_rate, seconds, SocketsInTimeWait() - before,
+        paced.failed_requests);
   }
-  for (const Way& way : ways) {
+  for (const ConnectionMode& mode : modes) {
     for (const int pause : {0, 1, 30, 300}) {
-      const Figures figures =
-          Measure(way, pause, FLAGS_requests, FLAGS_together, {});
+      const LoadResult result =
+          Measure(mode, pause, FLAGS_requests, FLAGS_together, {});
       std::printf(
           "%-20s second answer after %3d ms: %5d foreign, %4d failed, "
           "%llu connections\n",
-          way.name, pause, figures.foreign, figures.failed,
-          static_cast<unsigned long long>(figures.connects));
+          mode.name, pause, result.foreign_answers, result.failed_requests,
+          static_cast<unsigned long long>(result.connects));
     }
   }
-  for (const Way& way : ways) {
-    const Figures one = Measure(way, kNoSecondAnswer, FLAGS_requests, 1, {});
+  for (const ConnectionMode& mode : modes) {
+    const LoadResult one =
+        Measure(mode, kNoSecondAnswer, FLAGS_requests, 1, {});
     const auto count = static_cast<double>(one.times_us.size());
     std::printf(
         "%-20s one answer: p50 %.0f us, p99 %.0f us, %.1f us of "
         "processor time a request\n",
-        way.name, one.times_us[one.times_us.size() / 2],
-        one.times_us[one.times_us.size() * 99 / 100], one.processor_us / count);
+        mode.name, one.times_us[one.times_us.size() / 2],
+        one.times_us[one.times_us.size() * 99 / 100], one.cpu_us / count);
   }
 }
--- a/libs/model/include/almondlink/model/experiment.h
+++ b/libs/model/include/almondlink/model/experiment.h
@@ -25,21 +25,21 @@
 Result<std::vector<Variant>> ParseVariants(const std::string& text);
 
 /// `setting=value`, or `default`.
-std::string NameOf(const Variant& variant);
+std::string FormatVariant(const Variant& variant);
 
 /// The outcomes of one variant on one trace, one for each seed.
-struct Series {
-  std::size_t variant = 0;
-  std::size_t trace = 0;
+struct VariantOutcomes {
+  std::size_t variant_index = 0;
+  std::size_t scenario_index = 0;
   std::vector<Outcome> outcomes;
 };
 
 /// Mean and standard deviation of one figure, and of its difference from that
 /// of the defaults, seed by seed.
-struct Spread {
+struct FigureStatistics {
   double mean = 0;
   double deviation = 0;
-  double change = 0;
+  double mean_change = 0;
   double change_deviation = 0;
 };
 
@@ -47,22 +47,23 @@
 /// The order of the result does not depend on `jobs`: by trace, then variant.
 /// Preconditions: variants[0] is the defaults; `seeds` and `jobs` above 0.
 /// Errors: kBadSettings if a setting cannot be varied.
-Result<std::vector<Series>> RunExperiment(const std::vector<Scenario>& traces,
-                                          const std::vector<Variant>& variants,
-                                          std::uint64_t seeds,
-                                          unsigned jobs);
+Result<std::vector<VariantOutcomes>> RunExperiment(
+    const std::vector<Scenario>& scenarios,
+    const std::vector<Variant>& variants,
+    std::uint64_t seeds,
+    unsigned jobs);
 
 /// A figure (see FigureOf) of a series beside that of the defaults.
-Spread SpreadOf(const Series& series,
-                const Series& defaults,
-                const std::string& figure,
-                const std::string& criticality);
+FigureStatistics ComputeStatistics(const VariantOutcomes& series,
+                                   const VariantOutcomes& defaults,
+                                   const std::string& figure,
+                                   const std::string& criticality);
 
 /// Share of what was asked that ended whole, by the time it was asked, of one
 /// class or (empty) of all by weight; one value per kBucketMs, mean over seeds.
 /// Below 0 where nothing was asked.
-std::vector<double> ShareOverTime(const Series& series,
-                                  const std::string& criticality);
+std::vector<double> CompletedShareOverTime(const VariantOutcomes& series,
+                                           const std::string& criticality);
 
 }  // namespace almondlink::model
 
--- a/libs/model/include/almondlink/model/outcome.h
+++ b/libs/model/include/almondlink/model/outcome.h
@@ -13,32 +13,32 @@
 
 /// What became of the requests of one class.
 struct ClassOutcome {
-  std::uint64_t asked = 0;
-  std::uint64_t whole = 0;
+  std::uint64_t requests = 0;
+  std::uint64_t completed = 0;
   /// Whole answers that arrived while the cause lasted, and what was asked
   /// then.
-  std::uint64_t whole_in_cause = 0;
-  std::uint64_t asked_in_cause = 0;
+  std::uint64_t completed_in_disturbance = 0;
+  std::uint64_t requests_in_disturbance = 0;
 };
 
 /// Requests by the time they were asked, per `kBucketMs`.
 struct TimeSeries {
-  std::vector<double> asked;
-  std::vector<double> whole;
+  std::vector<double> requests;
+  std::vector<double> completed;
 };
 
 /// Figures of one replay.
 struct Outcome {
   std::array<ClassOutcome, kCriticalityCount> classes;
   /// Sum of weights of whole answers, and of what was asked.
-  double weighted_whole = 0;
-  double weighted_asked = 0;
+  double weighted_completed = 0;
+  double weighted_requests = 0;
   /// The same for requests asked while the cause lasted.
-  double weighted_whole_in_cause = 0;
-  double weighted_asked_in_cause = 0;
+  double weighted_completed_in_disturbance = 0;
+  double weighted_requests_in_disturbance = 0;
   /// Work that targets finished for nobody.
-  std::uint64_t wasted = 0;
-  std::uint64_t target_work = 0;
+  std::uint64_t wasted_runs = 0;
+  std::uint64_t target_runs = 0;
   /// Calls made per root request, over those that its chain has at least.
   double attempts_max = 0;
   double attempts_mean = 0;
@@ -56,32 +56,32 @@
   /// Weight of whole answers by the time they arrived, of whole answers by the
   /// time they were asked for, and of all that was asked; per `kBucketMs`.
   std::vector<double> goodput;
-  std::vector<double> whole_by_asked;
-  std::vector<double> asked;
+  std::vector<double> completed_by_arrival;
+  std::vector<double> requested;
   /// Counts of each class.
-  std::array<TimeSeries, kCriticalityCount> times;
+  std::array<TimeSeries, kCriticalityCount> class_counts;
 };
 
 constexpr double kBucketMs = 250;
 
 /// One expectation that was not met.
-struct Difference {
+struct UnmetExpectation {
   int line = 0;
   std::string text;
 };
 
 /// Value of a figure by its name in traces; false if there is none.
-bool FigureOf(const Outcome& outcome,
-              const std::string& figure,
-              const std::string& criticality,
-              double& value);
+bool FindFigure(const Outcome& outcome,
+                const std::string& figure,
+                const std::string& criticality,
+                double& value);
 
 /// Compares an outcome with what the scenario states.
-std::vector<Difference> Compare(const Scenario& scenario,
-                                const Outcome& outcome);
+std::vector<UnmetExpectation> FindUnmetExpectations(const Scenario& scenario,
+                                                    const Outcome& outcome);
 
 /// Sets `recovery_ms` from the goodput buckets and the scenario's cause.
-void FindRecovery(const Scenario& scenario, Outcome& outcome);
+void ComputeRecoveryTime(const Scenario& scenario, Outcome& outcome);
 
 }  // namespace almondlink::model
 
--- a/libs/model/include/almondlink/model/relay_rules.h
+++ b/libs/model/include/almondlink/model/relay_rules.h
@@ -19,7 +19,7 @@
   control::HealthRules health;
   control::RepeatRules repeats;
   /// Sends of one request; targets that refused it may be asked again.
-  int sends = 12;
+  int max_sends = 12;
 };
 
 /// Changes one rule by the name that it has in a node's settings ([decisions]),
--- a/libs/model/include/almondlink/model/replay.h
+++ b/libs/model/include/almondlink/model/replay.h
@@ -10,7 +10,7 @@
 
 /// Runs a scenario in virtual time. The same scenario and control give the same
 /// outcome on every run and machine. Thread safe.
-Outcome Replay(const Scenario& scenario, Control control);
+Outcome Replay(const Scenario& scenario, ControlKind control);
 
 }  // namespace almondlink::model
 
--- a/libs/model/include/almondlink/model/scenario.h
+++ b/libs/model/include/almondlink/model/scenario.h
@@ -55,7 +55,7 @@
   kCold,
   /// Instances answer every request at once with an error, though their health
   /// endpoint says that all is well.
-  kLying,
+  kFailingWhileHealthy,
   /// Connections open at the start carry nothing any more, new ones work.
   kSilentLinks,
   /// The platform's log does not answer.
@@ -88,7 +88,7 @@
 };
 
 /// What stands between callers and targets in a replay.
-enum class Control {
+enum class ControlKind {
   /// almondlink's decisions at its own interface.
   kAlmondlink,
   /// Its decisions as a relay.
@@ -99,17 +99,17 @@
   kFixedLimit,
 };
 
-const char* ToString(Control control);
+const char* ToString(ControlKind control);
 
 /// A stated outcome of a replay.
 struct Expectation {
   std::string figure;
   /// Class the figure is of; empty for all.
   std::string criticality;
-  double at_least = 0;
-  double at_most = 0;
-  bool has_least = false;
-  bool has_most = false;
+  double min_value = 0;
+  double max_value = 0;
+  bool has_min = false;
+  bool has_max = false;
   int line = 0;
 };
 
@@ -117,25 +117,25 @@
 struct Scenario {
   std::string name;
   /// The control that the outcomes are stated for.
-  Control control = Control::kAlmondlink;
+  ControlKind control = ControlKind::kAlmondlink;
   policy::Bundle bundle;
   std::uint64_t seed = 1;
   /// What a relay decides by.
-  RelayRules rules;
+  RelayRules relay_rules;
   double duration_ms = 60'000;
   /// One-way latency between zones, and to callers.
-  double zone_ms = 1;
-  double client_ms = 1;
+  double zone_latency_ms = 1;
+  double client_latency_ms = 1;
   std::vector<std::string> zones;
   std::vector<ServiceModel> services;
   std::vector<ChainModel> chains;
   std::vector<ArrivalModel> arrivals;
-  std::vector<RecordedCall> calls;
+  std::vector<RecordedCall> recorded_calls;
   std::vector<FaultModel> faults;
   CallerModel callers;
   /// Time of the cause; figures of recovery count from its end.
-  double cause_from_ms = 0;
-  double cause_to_ms = 0;
+  double disturbance_from_ms = 0;
+  double disturbance_to_ms = 0;
   std::vector<Expectation> expectations;
 };
 
--- a/libs/model/src/almondlink_path.h
+++ b/libs/model/src/almondlink_path.h
@@ -10,7 +10,7 @@
 #include "almondlink/control/downstream.h"
 #include "almondlink/control/retry_budget.h"
 #include "almondlink/control/routing.h"
-#include "world.h"
+#include "simulation.h"
 
 namespace almondlink::model {
 
@@ -18,56 +18,63 @@
 /// functions of `control`, in virtual time and without bytes.
 class AlmondlinkPath : public CallPath {
  public:
-  explicit AlmondlinkPath(World& world);
+  explicit AlmondlinkPath(Simulation& simulation);
   ~AlmondlinkPath() override;
   CallHandlePointer Call(const CallSpec& spec, CallDone done) override;
 
  private:
-  struct OutCall;
-  using OutCallPointer = std::shared_ptr<OutCall>;
+  struct OutgoingCall;
+  using OutgoingCallPointer = std::shared_ptr<OutgoingCall>;
   struct Node;
   struct Handle;
 
   /// What a target's node sends back.
   struct Answer {
     ErrorKind kind = ErrorKind::kNone;
-    bool is_whole = false;
-    bool is_call_failed = false;
-    std::uint32_t grant_back = 0;
-    std::uint32_t downstream = 0;
+    bool is_completed = false;
+    bool has_failed_call = false;
+    std::uint32_t returned_retries = 0;
+    std::uint32_t downstream_level = 0;
     std::uint32_t level = 0;
     std::uint32_t utilization = 0;
   };
 
   // The entry node's side.
-  bool Begin(const OutCallPointer& call);
-  void Attempt(const OutCallPointer& call);
-  void SendTo(const OutCallPointer& call, std::size_t place);
-  void OnAnswer(const OutCallPointer& call, int attempt, Answer answer);
-  void Learn(const OutCallPointer& call, const Answer& answer);
-  void RetryOrFinish(const OutCallPointer& call, const Answer& answer);
-  void OnDeadline(const OutCallPointer& call);
-  void Cancel(const OutCallPointer& call);
-  void Finish(const OutCallPointer& call, const CallResult& result);
+  bool AdmitAtEntry(const OutgoingCallPointer& call);
+  void Attempt(const OutgoingCallPointer& call);
+  void SendTo(const OutgoingCallPointer& call, std::size_t view_index);
+  void OnAnswer(const OutgoingCallPointer& call, int attempt, Answer answer);
+  void UpdateTargetView(const OutgoingCallPointer& call, const Answer& answer);
+  void RetryOrFinish(const OutgoingCallPointer& call, const Answer& answer);
+  void OnDeadline(const OutgoingCallPointer& call);
+  void Cancel(const OutgoingCallPointer& call);
+  void Finish(const OutgoingCallPointer& call, const CallResult& result);
   void UpdateMembership(std::size_t entry, std::size_t service);
 
   // The target's node's side.
-  void Arrive(const OutCallPointer& call, int attempt, std::size_t target);
-  void Admit(const OutCallPointer& call, int attempt, std::size_t target);
-  void Apply(std::size_t target, const control::AdmissionStep& step);
+  void OnArrival(const OutgoingCallPointer& call,
+                 int attempt,
+                 std::size_t target);
+  void OfferToAdmission(const OutgoingCallPointer& call,
+                        int attempt,
+                        std::size_t target);
+  void ApplyAdmissionStep(std::size_t target,
+                          const control::AdmissionStep& step);
   void Dispatch(std::size_t target, control::Ticket ticket);
-  void OnWorkDone(std::size_t target, control::Ticket ticket, bool is_whole);
+  void OnWorkDone(std::size_t target,
+                  control::Ticket ticket,
+                  bool is_completed);
   void Reply(std::size_t target, control::Ticket ticket, Answer answer);
   void Tick(std::size_t target);
-  void NoteOrder(std::size_t target, const OutCallPointer& call);
+  void CountOrderViolation(std::size_t target, const OutgoingCallPointer& call);
 
-  World& world;
+  Simulation& simulation;
   std::vector<std::unique_ptr<Node>> nodes;
   std::uint64_t last_ticket = 0;
 };
 
 /// One call on its way, as entry_loop.cc has it.
-struct AlmondlinkPath::OutCall {
+struct AlmondlinkPath::OutgoingCall {
   CallSpec spec;
   CallDone done;
   double deadline_ms = 0;
@@ -84,9 +91,9 @@
   bool is_over = false;
   // The attempt that is out.
   int attempt = 0;
-  std::size_t place = 0;
+  std::size_t view_index = 0;
   std::size_t target = 0;
-  std::uint32_t lent = 0;
+  std::uint32_t lent_retries = 0;
   double sent_ms = 0;
   control::Ticket ticket;
 };
@@ -95,7 +102,7 @@
   // As target's node.
   control::AdmissionRules rules;
   control::Admission admission;
-  std::map<control::Ticket, std::pair<OutCallPointer, int>> calls;
+  std::map<control::Ticket, std::pair<OutgoingCallPointer, int>> calls;
   std::map<control::Ticket, std::pair<WorkPointer, double>> work;
   bool is_ticking = false;
   // As entry node.
@@ -110,11 +117,11 @@
 };
 
 struct AlmondlinkPath::Handle : CallHandle {
-  Handle(AlmondlinkPath& path, OutCallPointer call)
+  Handle(AlmondlinkPath& path, OutgoingCallPointer call)
       : path(path), call(std::move(call)) {}
   void Cancel() override { this->path.Cancel(this->call); }
   AlmondlinkPath& path;
-  const OutCallPointer call;
+  const OutgoingCallPointer call;
 };
 
 }  // namespace almondlink::model
--- a/libs/model/src/almondlink_target.cc
+++ b/libs/model/src/almondlink_target.cc
@@ -9,43 +9,44 @@
 namespace {
 
 /// Delays of the daemon's surroundings.
-constexpr double kClaimMs = 8;
-constexpr double kLogGivesUpMs = 100;
+constexpr double kClaimLatencyMs = 8;
+constexpr double kLogTimeoutMs = 100;
 constexpr double kTickMs = 5;
 
 }  // namespace
 
-void AlmondlinkPath::Arrive(const OutCallPointer& call,
-                            int attempt,
-                            std::size_t target) {
+void AlmondlinkPath::OnArrival(const OutgoingCallPointer& call,
+                               int attempt,
+                               std::size_t target) {
   if (call->is_over || call->attempt != attempt) {
     return;
   }
   call->ticket = control::Ticket(++this->last_ticket);
   this->nodes[target]->calls[call->ticket] = {call, attempt};
   const bool is_keyed =
-      !this->world.operations[call->spec.operation].spec->is_repeatable;
-  if (!is_keyed || this->world.scenario.callers.has_minted_keys) {
-    this->Admit(call, attempt, target);
+      !this->simulation.operations[call->spec.operation].spec->is_repeatable;
+  if (!is_keyed || this->simulation.scenario.callers.has_minted_keys) {
+    this->OfferToAdmission(call, attempt, target);
     return;
   }
-  if (this->world.IsLogDown()) {
-    this->world.clock.After(kLogGivesUpMs,
-                            [this, target, ticket = call->ticket]() {
-                              Answer answer;
-                              answer.kind = ErrorKind::kLogUnavailable;
-                              this->Reply(target, ticket, answer);
-                            });
+  if (this->simulation.IsLogDown()) {
+    this->simulation.clock.Schedule(kLogTimeoutMs,
+                                    [this, target, ticket = call->ticket]() {
+                                      Answer answer;
+                                      answer.kind = ErrorKind::kLogUnavailable;
+                                      this->Reply(target, ticket, answer);
+                                    });
     return;
   }
-  this->world.clock.After(kClaimMs, [this, call, attempt, target]() {
-    this->Admit(call, attempt, target);
-  });
+  this->simulation.clock.Schedule(
+      kClaimLatencyMs, [this, call, attempt, target]() {
+        this->OfferToAdmission(call, attempt, target);
+      });
 }
 
-void AlmondlinkPath::Admit(const OutCallPointer& call,
-                           int attempt,
-                           std::size_t target) {
+void AlmondlinkPath::OfferToAdmission(const OutgoingCallPointer& call,
+                                      int attempt,
+                                      std::size_t target) {
   Node& node = *this->nodes[target];
   if (call->is_over || call->attempt != attempt ||
       node.calls.count(call->ticket) == 0) {
@@ -58,31 +59,35 @@
   request.criticality = call->spec.root->criticality;
   request.depth = static_cast<std::uint32_t>(call->spec.depth);
   request.deadline = Millis{static_cast<std::int64_t>(call->deadline_ms)};
-  this->Apply(target, control::Offer(node.rules, this->world.clock.NowMillis(),
-                                     request, node.admission));
+  this->ApplyAdmissionStep(
+      target, control::Offer(node.rules, this->simulation.clock.NowMillis(),
+                             request, node.admission));
   if (!node.is_ticking && !node.admission.queue.empty()) {
     node.is_ticking = true;
-    this->world.clock.After(kTickMs, [this, target]() { this->Tick(target); });
+    this->simulation.clock.Schedule(kTickMs,
+                                    [this, target]() { this->Tick(target); });
   }
 }
 
 void AlmondlinkPath::Tick(std::size_t target) {
   Node& node = *this->nodes[target];
-  this->Apply(target, control::Tick(node.rules, this->world.clock.NowMillis(),
-                                    node.admission));
+  this->ApplyAdmissionStep(
+      target, control::Tick(node.rules, this->simulation.clock.NowMillis(),
+                            node.admission));
   node.is_ticking = !node.admission.queue.empty();
   if (node.is_ticking) {
-    this->world.clock.After(kTickMs, [this, target]() { this->Tick(target); });
+    this->simulation.clock.Schedule(kTickMs,
+                                    [this, target]() { this->Tick(target); });
   }
 }
 
-void AlmondlinkPath::Apply(std::size_t target,
-                           const control::AdmissionStep& step) {
+void AlmondlinkPath::ApplyAdmissionStep(std::size_t target,
+                                        const control::AdmissionStep& step) {
   for (const control::Refusal& refusal : step.refuse) {
     const auto found = this->nodes[target]->calls.find(refusal.ticket);
     if (found != this->nodes[target]->calls.end()) {
       if (refusal.kind == ErrorKind::kOverloaded) {
-        this->NoteOrder(target, found->second.first);
+        this->CountOrderViolation(target, found->second.first);
       }
       Answer answer;
       answer.kind = refusal.kind;
@@ -95,7 +100,8 @@
 }
 
 /// A refusal breaks the order when a whole lesser class would still be let in.
-void AlmondlinkPath::NoteOrder(std::size_t target, const OutCallPointer& call) {
+void AlmondlinkPath::CountOrderViolation(std::size_t target,
+                                         const OutgoingCallPointer& call) {
   const std::uint32_t next_class =
       (static_cast<std::uint32_t>(call->spec.root->criticality) + 1) *
       control::kRanksPerClass;
@@ -106,47 +112,47 @@
           call->spec.root->criticality;
   const bool is_lesser_admitted =
       node.admission.pressure.threshold > next_class && is_lesser_waiting;
-  this->world.outcome.order_violations += is_lesser_admitted ? 1 : 0;
+  this->simulation.outcome.order_violations += is_lesser_admitted ? 1 : 0;
 }
 
 void AlmondlinkPath::Dispatch(std::size_t target, control::Ticket ticket) {
   Node& node = *this->nodes[target];
-  const OutCallPointer call = node.calls.at(ticket).first;
+  const OutgoingCallPointer call = node.calls.at(ticket).first;
   const auto work = std::make_shared<Work>();
   work->root = call->spec.root;
   work->operation = call->spec.operation;
   work->instance = target;
   work->depth = call->spec.depth;
   work->deadline_ms = call->deadline_ms;
-  work->grant.available = call->lent;
-  work->done = [this, target, ticket](bool is_whole) {
-    this->OnWorkDone(target, ticket, is_whole);
+  work->grant.available = call->lent_retries;
+  work->done = [this, target, ticket](bool is_completed) {
+    this->OnWorkDone(target, ticket, is_completed);
   };
-  node.work[ticket] = {work, this->world.clock.Now()};
-  this->world.Submit(work);
+  node.work[ticket] = {work, this->simulation.clock.Now()};
+  this->simulation.Submit(work);
 }
 
 void AlmondlinkPath::OnWorkDone(std::size_t target,
                                 control::Ticket ticket,
-                                bool is_whole) {
+                                bool is_completed) {
   Node& node = *this->nodes[target];
   const auto found = node.work.find(ticket);
   if (found == node.work.end()) {
     return;
   }
   const WorkPointer work = found->second.first;
-  const double took = this->world.clock.Now() - found->second.second;
+  const double took = this->simulation.clock.Now() - found->second.second;
   node.work.erase(found);
   Answer answer;
-  answer.is_whole = is_whole;
-  answer.grant_back = work->grant.available;
-  answer.downstream = is_whole ? 0 : work->downstream;
-  answer.is_call_failed = !is_whole && work->is_call_failed;
+  answer.is_completed = is_completed;
+  answer.returned_retries = work->grant.available;
+  answer.downstream_level = is_completed ? 0 : work->downstream_level;
+  answer.has_failed_call = !is_completed && work->has_failed_call;
   const control::AdmissionStep step = control::Complete(
-      node.rules, this->world.clock.NowMillis(), LatencyMs{took},
+      node.rules, this->simulation.clock.NowMillis(), LatencyMs{took},
       control::Outcome::kSuccess, node.admission);
   this->Reply(target, ticket, answer);
-  this->Apply(target, step);
+  this->ApplyAdmissionStep(target, step);
 }
 
 void AlmondlinkPath::Reply(std::size_t target,
@@ -160,15 +166,16 @@
   const auto [call, attempt] = found->second;
   node.calls.erase(found);
   if (answer.kind != ErrorKind::kNone) {
-    answer.grant_back = call->lent;
+    answer.returned_retries = call->lent_retries;
   }
   answer.level = control::LevelOf(node.admission.pressure);
   answer.utilization = control::Utilization(
-      node.rules, this->world.clock.NowMillis(), node.admission);
-  this->world.clock.After(this->world.Latency(target, call->spec.entry),
-                          [this, call = call, attempt = attempt, answer]() {
-                            this->OnAnswer(call, attempt, answer);
-                          });
+      node.rules, this->simulation.clock.NowMillis(), node.admission);
+  this->simulation.clock.Schedule(
+      this->simulation.Latency(target, call->spec.entry),
+      [this, call = call, attempt = attempt, answer]() {
+        this->OnAnswer(call, attempt, answer);
+      });
 }
 
 }  // namespace almondlink::model
--- a/libs/model/src/experiment.cc
+++ b/libs/model/src/experiment.cc
@@ -31,13 +31,13 @@
   return std::sqrt(squares / static_cast<double>(values.size() - 1));
 }
 
-std::vector<double> Values(const Series& series,
-                           const std::string& figure,
-                           const std::string& criticality) {
+std::vector<double> FigureValues(const VariantOutcomes& series,
+                                 const std::string& figure,
+                                 const std::string& criticality) {
   std::vector<double> values;
   for (const Outcome& outcome : series.outcomes) {
     double value = 0;
-    FigureOf(outcome, figure, criticality, value);
+    FindFigure(outcome, figure, criticality, value);
     values.push_back(value);
   }
   return values;
@@ -69,40 +69,42 @@
   return variants;
 }
 
-std::string NameOf(const Variant& variant) {
+std::string FormatVariant(const Variant& variant) {
   return variant.setting.empty() ? "default"
                                  : variant.setting + "=" + variant.value;
 }
 
-Result<std::vector<Series>> RunExperiment(const std::vector<Scenario>& traces,
-                                          const std::vector<Variant>& variants,
-                                          std::uint64_t seeds,
-                                          unsigned jobs) {
-  std::vector<Series> all;
-  std::vector<Scenario> scenarios;
-  for (std::size_t trace = 0; trace < traces.size(); ++trace) {
+Result<std::vector<VariantOutcomes>> RunExperiment(
+    const std::vector<Scenario>& scenarios,
+    const std::vector<Variant>& variants,
+    std::uint64_t seeds,
+    unsigned jobs) {
+  std::vector<VariantOutcomes> all;
+  std::vector<Scenario> varied;
+  for (std::size_t i = 0; i < scenarios.size(); ++i) {
     for (std::size_t variant = 0; variant < variants.size(); ++variant) {
-      Scenario scenario = traces[trace];
+      Scenario scenario = scenarios[i];
       if (!variants[variant].setting.empty()) {
         BOOST_LEAF_CHECK(SetRule(variants[variant].setting,
-                                 variants[variant].value, scenario.rules));
+                                 variants[variant].value,
+                                 scenario.relay_rules));
       }
-      scenarios.push_back(std::move(scenario));
-      Series series;
-      series.variant = variant;
-      series.trace = trace;
+      varied.push_back(std::move(scenario));
+      VariantOutcomes series;
+      series.variant_index = variant;
+      series.scenario_index = i;
       series.outcomes.resize(seeds);
       all.push_back(std::move(series));
     }
   }
-  const std::size_t plays = all.size() * seeds;
+  const std::size_t replays = all.size() * seeds;
   std::atomic<std::size_t> next{0};
   const auto work = [&]() {
-    for (std::size_t play = next++; play < plays; play = next++) {
-      const std::size_t place = play / seeds;
-      Scenario scenario = scenarios[place];
-      scenario.seed = play % seeds + 1;
-      all[place].outcomes[play % seeds] = Replay(scenario, scenario.control);
+    for (std::size_t replay = next++; replay < replays; replay = next++) {
+      const std::size_t index = replay / seeds;
+      Scenario scenario = varied[index];
+      scenario.seed = replay % seeds + 1;
+      all[index].outcomes[replay % seeds] = Replay(scenario, scenario.control);
     }
   };
   std::vector<std::thread> threads;
@@ -115,12 +117,12 @@
   return all;
 }
 
-Spread SpreadOf(const Series& series,
-                const Series& defaults,
-                const std::string& figure,
-                const std::string& criticality) {
-  const std::vector<double> values = Values(series, figure, criticality);
-  std::vector<double> changes = Values(defaults, figure, criticality);
+FigureStatistics ComputeStatistics(const VariantOutcomes& series,
+                                   const VariantOutcomes& defaults,
+                                   const std::string& figure,
+                                   const std::string& criticality) {
+  const std::vector<double> values = FigureValues(series, figure, criticality);
+  std::vector<double> changes = FigureValues(defaults, figure, criticality);
   for (std::size_t i = 0; i < changes.size(); ++i) {
     changes[i] = values[i] - changes[i];
   }
@@ -128,27 +130,27 @@
           DeviationOf(changes)};
 }
 
-std::vector<double> ShareOverTime(const Series& series,
-                                  const std::string& criticality) {
-  std::vector<double> whole;
-  std::vector<double> asked;
+std::vector<double> CompletedShareOverTime(const VariantOutcomes& series,
+                                           const std::string& criticality) {
+  std::vector<double> completed;
+  std::vector<double> requested;
   for (const Outcome& outcome : series.outcomes) {
     if (criticality.empty()) {
-      AddTo(whole, outcome.whole_by_asked);
-      AddTo(asked, outcome.asked);
+      AddTo(completed, outcome.completed_by_arrival);
+      AddTo(requested, outcome.requested);
       continue;
     }
     for (std::uint32_t i = 0; i < kCriticalityCount; ++i) {
       if (criticality == ToString(static_cast<Criticality>(i))) {
-        AddTo(whole, outcome.times[i].whole);
-        AddTo(asked, outcome.times[i].asked);
+        AddTo(completed, outcome.class_counts[i].completed);
+        AddTo(requested, outcome.class_counts[i].requests);
       }
     }
   }
-  for (std::size_t i = 0; i < whole.size(); ++i) {
-    whole[i] = asked[i] > 0 ? whole[i] / asked[i] : -1;
+  for (std::size_t i = 0; i < completed.size(); ++i) {
+    completed[i] = requested[i] > 0 ? completed[i] / requested[i] : -1;
   }
-  return whole;
+  return completed;
 }
 
 }  // namespace almondlink::model
--- a/libs/model/src/outcome.cc
+++ b/libs/model/src/outcome.cc
@@ -8,17 +8,17 @@
 namespace {
 
 /// Buckets in one smoothed value, one second.
-constexpr std::size_t kSmooth = 4;
+constexpr std::size_t kSmoothingBuckets = 4;
 /// Buckets that must stay up for the return to count.
-constexpr std::size_t kStay = 8;
-constexpr double kBack = 0.95;
+constexpr std::size_t kStableBuckets = 8;
+constexpr double kRecoveredRatio = 0.95;
 /// Start of a replay that is left out of "before": queues fill.
 constexpr double kWarmUpMs = 2000;
 /// End of a replay that is left out.
 constexpr double kCoolDownMs = 6000;
 
-double Share(double part, double whole) {
-  return whole > 0 ? part / whole : 1;
+double Ratio(double part, double total) {
+  return total > 0 ? part / total : 1;
 }
 
 std::size_t BucketOf(double time_ms) {
@@ -26,22 +26,24 @@
 }
 
 /// Share of the weight asked in buckets [from, to) that ended whole.
-double ShareIn(const Outcome& outcome, std::size_t from, std::size_t to) {
-  double whole = 0;
-  double asked = 0;
-  for (std::size_t i = from; i < std::min(to, outcome.asked.size()); ++i) {
-    whole += outcome.whole_by_asked[i];
-    asked += outcome.asked[i];
+double CompletedShare(const Outcome& outcome,
+                      std::size_t from,
+                      std::size_t to) {
+  double completed = 0;
+  double requested = 0;
+  for (std::size_t i = from; i < std::min(to, outcome.requested.size()); ++i) {
+    completed += outcome.completed_by_arrival[i];
+    requested += outcome.requested[i];
   }
-  return Share(whole, asked);
+  return Ratio(completed, requested);
 }
 
-bool StaysUp(const Outcome& outcome,
-             std::size_t from,
-             std::size_t last,
-             double level) {
-  for (std::size_t i = from; i < std::min(from + kStay, last); ++i) {
-    if (ShareIn(outcome, i, i + kSmooth) < level) {
+bool StaysAbove(const Outcome& outcome,
+                std::size_t from,
+                std::size_t last,
+                double level) {
+  for (std::size_t i = from; i < std::min(from + kStableBuckets, last); ++i) {
+    if (CompletedShare(outcome, i, i + kSmoothingBuckets) < level) {
       return false;
     }
   }
@@ -50,47 +52,50 @@
 
 }  // namespace
 
-void FindRecovery(const Scenario& scenario, Outcome& outcome) {
+void ComputeRecoveryTime(const Scenario& scenario, Outcome& outcome) {
   outcome.recovery_ms = -1;
-  const double before =
-      ShareIn(outcome, BucketOf(kWarmUpMs), BucketOf(scenario.cause_from_ms));
-  const std::size_t end = BucketOf(scenario.cause_to_ms);
+  const double before = CompletedShare(outcome, BucketOf(kWarmUpMs),
+                                       BucketOf(scenario.disturbance_from_ms));
+  const std::size_t end = BucketOf(scenario.disturbance_to_ms);
   // Requests asked at the very end cannot end within the replay.
   const std::size_t last =
-      BucketOf(scenario.duration_ms - kCoolDownMs) - kSmooth;
-  for (std::size_t i = end; i + kStay <= last; ++i) {
-    if (StaysUp(outcome, i, last, before * kBack)) {
+      BucketOf(scenario.duration_ms - kCoolDownMs) - kSmoothingBuckets;
+  for (std::size_t i = end; i + kStableBuckets <= last; ++i) {
+    if (StaysAbove(outcome, i, last, before * kRecoveredRatio)) {
       outcome.recovery_ms = static_cast<double>(i - end) * kBucketMs;
       return;
     }
   }
 }
 
-bool FigureOf(const Outcome& outcome,
-              const std::string& figure,
-              const std::string& criticality,
-              double& value) {
-  ClassOutcome of;
+bool FindFigure(const Outcome& outcome,
+                const std::string& figure,
+                const std::string& criticality,
+                double& value) {
+  ClassOutcome totals;
   for (std::uint32_t i = 0; i < kCriticalityCount; ++i) {
     const bool is_wanted = criticality.empty() ||
                            criticality == ToString(static_cast<Criticality>(i));
     if (is_wanted) {
-      of.asked += outcome.classes[i].asked;
-      of.whole += outcome.classes[i].whole;
-      of.asked_in_cause += outcome.classes[i].asked_in_cause;
-      of.whole_in_cause += outcome.classes[i].whole_in_cause;
+      totals.requests += outcome.classes[i].requests;
+      totals.completed += outcome.classes[i].completed;
+      totals.requests_in_disturbance +=
+          outcome.classes[i].requests_in_disturbance;
+      totals.completed_in_disturbance +=
+          outcome.classes[i].completed_in_disturbance;
     }
   }
   if (figure == "whole_share") {
-    value = Share(static_cast<double>(of.whole), static_cast<double>(of.asked));
+    value = Ratio(static_cast<double>(totals.completed),
+                  static_cast<double>(totals.requests));
   } else if (figure == "whole_share_in_cause") {
-    value = Share(static_cast<double>(of.whole_in_cause),
-                  static_cast<double>(of.asked_in_cause));
+    value = Ratio(static_cast<double>(totals.completed_in_disturbance),
+                  static_cast<double>(totals.requests_in_disturbance));
   } else if (figure == "weighted_share") {
-    value = Share(outcome.weighted_whole, outcome.weighted_asked);
+    value = Ratio(outcome.weighted_completed, outcome.weighted_requests);
   } else if (figure == "weighted_share_in_cause") {
-    value =
-        Share(outcome.weighted_whole_in_cause, outcome.weighted_asked_in_cause);
+    value = Ratio(outcome.weighted_completed_in_disturbance,
+                  outcome.weighted_requests_in_disturbance);
   } else if (figure == "recovery_ms") {
     value = outcome.recovery_ms < 0 ? 1e9 : outcome.recovery_ms;
   } else if (figure == "attempts_max") {
@@ -98,8 +103,8 @@
   } else if (figure == "attempts_mean") {
     value = outcome.attempts_mean;
   } else if (figure == "wasted_share") {
-    value = Share(static_cast<double>(outcome.wasted),
-                  static_cast<double>(outcome.target_work));
+    value = Ratio(static_cast<double>(outcome.wasted_runs),
+                  static_cast<double>(outcome.target_runs));
   } else if (figure == "grant_exceeded") {
     value = static_cast<double>(outcome.grant_exceeded);
   } else if (figure == "order_violations") {
@@ -112,9 +117,9 @@
   return true;
 }
 
-std::vector<Difference> Compare(const Scenario& scenario,
-                                const Outcome& outcome) {
-  std::vector<Difference> differences;
+std::vector<UnmetExpectation> FindUnmetExpectations(const Scenario& scenario,
+                                                    const Outcome& outcome) {
+  std::vector<UnmetExpectation> unmet;
   for (const Expectation& expected : scenario.expectations) {
     double value = 0;
     std::ostringstream text;
@@ -122,22 +127,22 @@
     if (!expected.criticality.empty()) {
       text << " of " << expected.criticality;
     }
-    if (!FigureOf(outcome, expected.figure, expected.criticality, value)) {
-      differences.push_back({expected.line, text.str() + ": no such figure"});
+    if (!FindFigure(outcome, expected.figure, expected.criticality, value)) {
+      unmet.push_back({expected.line, text.str() + ": no such figure"});
       continue;
     }
-    const bool is_low = expected.has_least && value < expected.at_least;
-    const bool is_high = expected.has_most && value > expected.at_most;
+    const bool is_low = expected.has_min && value < expected.min_value;
+    const bool is_high = expected.has_max && value > expected.max_value;
     if (is_low) {
-      text << " is " << value << ", stated at least " << expected.at_least;
+      text << " is " << value << ", stated at least " << expected.min_value;
     } else if (is_high) {
-      text << " is " << value << ", stated at most " << expected.at_most;
+      text << " is " << value << ", stated at most " << expected.max_value;
     }
     if (is_low || is_high) {
-      differences.push_back({expected.line, text.str()});
+      unmet.push_back({expected.line, text.str()});
     }
   }
-  return differences;
+  return unmet;
 }
 
 }  // namespace almondlink::model
--- a/libs/model/src/relay_path.cc
+++ b/libs/model/src/relay_path.cc
@@ -10,29 +10,29 @@
 /// Period of the daemon's round of states and of its admission.
 constexpr double kTickMs = 100;
 /// Silence with calls out after which the daemon tries elsewhere.
-constexpr double kSuspectMs = 700;
+constexpr double kLinkSuspectedMs = 700;
 /// A link that is found silent is replaced after so long.
-constexpr double kReplacedMs = 2200;
+constexpr double kLinkReplacedMs = 2200;
 /// Instances that one request may be sent to; the users' usual figure.
-constexpr std::size_t kAttempts = 2;
+constexpr std::size_t kMaxTargetsPerCall = 2;
 /// A root may wait this part of its time for a slot. The daemon takes a half of
 /// its latency target, which is a quarter to a third of the time.
-constexpr double kRootWaitPart = 0.15;
+constexpr double kMaxRootWaitShare = 0.15;
 /// Time left below which nothing is sent once more.
-constexpr double kLeastLeftMs = 30;
+constexpr double kMinTimeToRepeatMs = 30;
 /// What repeats may take: the users' ratio, with the fixed part of one service.
 constexpr double kRepeatRatio = 0.2;
 constexpr double kRepeatFixed = 47;
 
 /// 0 means none.
-std::uint32_t KeyOf(std::size_t service) {
+std::uint32_t ServiceKey(std::size_t service) {
   return static_cast<std::uint32_t>(service) + 1;
 }
 
 }  // namespace
 
 /// One call on its way.
-struct RelayPath::OutCall {
+struct RelayPath::OutgoingCall {
   CallSpec spec;
   CallDone done;
   double deadline_ms = 0;
@@ -45,45 +45,47 @@
   bool is_over = false;
   // The attempt that is out; earlier ones are ignored.
   int attempt = 0;
-  std::size_t place = 0;
+  std::size_t view_index = 0;
   std::size_t target = 0;
   bool is_waiting = false;
   WorkPointer work;
-  std::uint32_t life = 0;
+  std::uint32_t node_incarnation = 0;
   std::uint64_t arrival = 0;
   double dispatched_ms = 0;
 };
 
 struct RelayPath::Node {
   /// By priority, deeper calls first, then in order of arrival.
-  using Order = std::tuple<int, int, std::uint64_t>;
+  using QueueKey = std::tuple<int, int, std::uint64_t>;
   // As the node beside a target.
-  std::map<Order, OutCallPointer> queue;
+  std::map<QueueKey, OutgoingCallPointer> queue;
   std::uint32_t running = 0;
   /// Counts the losses of its host: what ran before one never ends.
-  std::uint32_t life = 0;
+  std::uint32_t incarnation = 0;
   control::DemandMeter meter;
   // As entry node: what is known of the targets of each service.
   std::vector<std::vector<control::PlaceView>> views;
 };
 
 struct RelayPath::Handle : CallHandle {
-  Handle(RelayPath& path, OutCallPointer call)
+  Handle(RelayPath& path, OutgoingCallPointer call)
       : path(path), call(std::move(call)) {}
   void Cancel() override { this->path.Cancel(this->call); }
   RelayPath& path;
-  const OutCallPointer call;
+  const OutgoingCallPointer call;
 };
 
-RelayPath::RelayPath(World& world)
-    : world(world), allowances(world.by_service.size()) {
-  for (const Instance& instance : world.instances) {
+RelayPath::RelayPath(Simulation& simulation)
+    : simulation(simulation),
+      allowances(simulation.instances_by_service.size()) {
+  for (const Instance& instance : simulation.instances) {
     auto node = std::make_unique<Node>();
-    for (const std::vector<std::size_t>& targets : world.by_service) {
+    for (const std::vector<std::size_t>& targets :
+         simulation.instances_by_service) {
       std::vector<control::PlaceView> views(targets.size());
       for (std::size_t i = 0; i < targets.size(); ++i) {
         views[i].is_own_zone =
-            world.instances[targets[i]].zone == instance.zone;
+            simulation.instances[targets[i]].zone == instance.zone;
         views[i].is_open = true;
         views[i].slots = this->SlotsOf(targets[i]);
       }
@@ -96,145 +98,151 @@
 
 RelayPath::~RelayPath() = default;
 
-control::RepeatRules RelayPath::Repeats() const {
-  control::RepeatRules rules = this->world.scenario.rules.repeats;
+control::RepeatRules RelayPath::EffectiveRepeatRules() const {
+  control::RepeatRules rules = this->simulation.scenario.relay_rules.repeats;
   rules.ratio = kRepeatRatio;
   rules.fixed = kRepeatFixed;
   return rules;
 }
 
 std::uint32_t RelayPath::SlotsOf(std::size_t target) const {
-  const std::size_t service = this->world.instances[target].service;
+  const std::size_t service = this->simulation.instances[target].service;
   return static_cast<std::uint32_t>(
-      this->world.scenario.services[service].slots);
+      this->simulation.scenario.services[service].slots);
 }
 
-std::uint32_t RelayPath::RouteOf(const RootRequest& root) const {
+std::uint32_t RelayPath::RouteKey(const RootRequest& root) const {
   // 0 means none.
   return static_cast<std::uint32_t>(root.operation) + 1;
 }
 
 CallHandlePointer RelayPath::Call(const CallSpec& spec, CallDone done) {
-  const OutCallPointer call = std::make_shared<OutCall>();
+  const OutgoingCallPointer call = std::make_shared<OutgoingCall>();
   call->spec = spec;
   call->done = std::move(done);
-  const OperationInfo& info = this->world.operations[spec.operation];
-  const double now = this->world.clock.Now();
+  const OperationInfo& info = this->simulation.operations[spec.operation];
+  const double now = this->simulation.clock.Now();
   const auto timeout = static_cast<double>(info.spec->timeout.count);
   call->deadline_ms = std::min(now + timeout, spec.deadline_ms);
   const bool is_root = spec.parent == nullptr;
   call->wait_until_ms =
-      is_root ? now + kRootWaitPart * timeout : call->deadline_ms;
+      is_root ? now + kMaxRootWaitShare * timeout : call->deadline_ms;
   if (is_root && !this->AdmitRoot(call)) {
     return std::make_shared<Handle>(*this, call);
   }
-  this->world.clock.After(call->deadline_ms - now,
-                          [this, call]() { this->TimeOut(call); });
+  this->simulation.clock.Schedule(call->deadline_ms - now,
+                                  [this, call]() { this->TimeOut(call); });
   this->Attempt(call);
   return std::make_shared<Handle>(*this, call);
 }
 
-bool RelayPath::AdmitRoot(const OutCallPointer& call) {
+bool RelayPath::AdmitRoot(const OutgoingCallPointer& call) {
   RootRequest& root = *call->spec.root;
-  root.ran = control::CallCounts();
-  if (control::LetIn(this->RouteOf(root),
+  root.runs_by_service = control::CallCounts();
+  if (control::LetIn(this->RouteKey(root),
                      static_cast<std::uint32_t>(root.criticality),
-                     this->world.Draw(), this->admission)) {
+                     this->simulation.DrawUniform(), this->admission)) {
     return true;
   }
   this->Finish(call, CallResult{false, ErrorKind::kOverloaded});
   return false;
 }
 
-void RelayPath::Attempt(const OutCallPointer& call) {
-  const OperationInfo& info = this->world.operations[call->spec.operation];
+void RelayPath::Attempt(const OutgoingCallPointer& call) {
+  const OperationInfo& info = this->simulation.operations[call->spec.operation];
   Node& node = *this->nodes[call->spec.entry];
   std::vector<control::PlaceView>& views = node.views[info.service];
-  const bool is_again = call->tried.size() >= kAttempts;
-  const std::vector<std::size_t>& named =
-      is_again ? call->refused_by : call->tried;
+  const bool is_resend = call->tried.size() >= kMaxTargetsPerCall;
+  const std::vector<std::size_t>& listed =
+      is_resend ? call->refused_by : call->tried;
   for (std::size_t i = 0; i < views.size(); ++i) {
-    const bool is_named =
-        std::find(named.begin(), named.end(), i) != named.end();
-    views[i].is_tried = is_named != is_again;
+    const bool is_listed =
+        std::find(listed.begin(), listed.end(), i) != listed.end();
+    views[i].is_tried = is_listed != is_resend;
   }
-  const control::PlaceDraws draws{this->world.Draw(), this->world.Draw(),
-                                  this->world.Draw(), this->world.Draw()};
-  const std::optional<std::size_t> place =
-      control::ChoosePlace(this->world.scenario.rules.placement, views,
-                           this->world.clock.NowMillis(), draws);
-  if (!place.has_value()) {
+  const control::PlaceDraws draws{
+      this->simulation.DrawUniform(), this->simulation.DrawUniform(),
+      this->simulation.DrawUniform(), this->simulation.DrawUniform()};
+  const std::optional<std::size_t> view_index =
+      control::ChoosePlace(this->simulation.scenario.relay_rules.placement,
+                           views, this->simulation.clock.NowMillis(), draws);
+  if (!view_index.has_value()) {
     this->Finish(
         call, CallResult{false, call->may_have_run ? ErrorKind::kTargetTimeout
                                                    : ErrorKind::kOverloaded});
     return;
   }
-  call->place = *place;
-  call->target = this->world.by_service[info.service][*place];
-  call->tried.push_back(*place);
-  ++views[*place].sent_since;
-  control::NoteSent(this->world.clock.NowMillis(), views[*place].health);
+  call->view_index = *view_index;
+  call->target =
+      this->simulation.instances_by_service[info.service][*view_index];
+  call->tried.push_back(*view_index);
+  ++views[*view_index].sent_since;
+  control::NoteSent(this->simulation.clock.NowMillis(),
+                    views[*view_index].health);
   ++call->spec.root->calls;
   control::RepeatAllowance& allowance = this->allowances[info.service];
   if (call->attempts == 0) {
-    control::NoteRequest(this->Repeats(), this->world.clock.NowMillis(),
-                         allowance);
+    control::NoteRequest(this->EffectiveRepeatRules(),
+                         this->simulation.clock.NowMillis(), allowance);
   }
   const int attempt = ++call->attempt;
   const bool is_silent =
-      this->world.HasFault(FaultKind::kSilentLinks, call->target) &&
-      this->world.clock.Now() -
-              this->world.FaultStart(FaultKind::kSilentLinks, call->target) <
-          kReplacedMs;
-  if (is_silent || this->world.HasFault(FaultKind::kLost, call->target)) {
-    this->world.clock.After(kSuspectMs, [this, call, attempt]() {
-      this->OnEnd(call, attempt, AttemptEnd::kLost);
+      this->simulation.HasFault(FaultKind::kSilentLinks, call->target) &&
+      this->simulation.clock.Now() -
+              this->simulation.FaultStart(FaultKind::kSilentLinks,
+                                          call->target) <
+          kLinkReplacedMs;
+  if (is_silent || this->simulation.HasFault(FaultKind::kLost, call->target)) {
+    this->simulation.clock.Schedule(kLinkSuspectedMs, [this, call, attempt]() {
+      this->OnAttemptResult(call, attempt, AttemptResult::kLost);
     });
     return;
   }
   const std::size_t target = call->target;
-  this->world.clock.After(this->world.Latency(call->spec.entry, target),
-                          [this, call, attempt, target]() {
-                            if (!call->is_over && call->attempt == attempt) {
-                              this->Arrive(call, target);
-                            }
-                          });
+  this->simulation.clock.Schedule(
+      this->simulation.Latency(call->spec.entry, target),
+      [this, call, attempt, target]() {
+        if (!call->is_over && call->attempt == attempt) {
+          this->OnArrival(call, target);
+        }
+      });
 }
 
-void RelayPath::Arrive(const OutCallPointer& call, std::size_t target) {
+void RelayPath::OnArrival(const OutgoingCallPointer& call, std::size_t target) {
   Node& node = *this->nodes[target];
-  control::NoteDemand(this->RouteOf(*call->spec.root), node.meter);
+  control::NoteDemand(this->RouteKey(*call->spec.root), node.meter);
   call->arrival = ++this->arrivals;
   call->is_waiting = true;
-  node.queue.emplace(Node::Order{static_cast<int>(call->spec.root->criticality),
-                                 -call->spec.depth, call->arrival},
-                     call);
-  this->Fill(target);
+  node.queue.emplace(
+      Node::QueueKey{static_cast<int>(call->spec.root->criticality),
+                     -call->spec.depth, call->arrival},
+      call);
+  this->DispatchQueued(target);
 }
 
-void RelayPath::Fill(std::size_t target) {
+void RelayPath::DispatchQueued(std::size_t target) {
   Node& node = *this->nodes[target];
-  const double now = this->world.clock.Now();
+  const double now = this->simulation.clock.Now();
   while (!node.queue.empty() && node.running < this->SlotsOf(target)) {
-    const OutCallPointer call = node.queue.begin()->second;
+    const OutgoingCallPointer call = node.queue.begin()->second;
     node.queue.erase(node.queue.begin());
     call->is_waiting = false;
     if (call->is_over) {
       continue;
     }
     if (now >= call->wait_until_ms) {
-      this->Reply(call, call->attempt, AttemptEnd::kNoSlot);
+      this->Reply(call, call->attempt, AttemptResult::kNoSlot);
       continue;
     }
     this->Dispatch(target, call);
   }
 }
 
-void RelayPath::Dispatch(std::size_t target, const OutCallPointer& call) {
+void RelayPath::Dispatch(std::size_t target, const OutgoingCallPointer& call) {
   Node& node = *this->nodes[target];
   ++node.running;
-  call->dispatched_ms = this->world.clock.Now();
-  call->life = node.life;
+  call->dispatched_ms = this->simulation.clock.Now();
+  call->node_incarnation = node.incarnation;
   const int attempt = call->attempt;
   const WorkPointer work = std::make_shared<Work>();
   work->root = call->spec.root;
@@ -243,74 +251,82 @@
   work->depth = call->spec.depth;
   work->deadline_ms = call->deadline_ms;
   call->work = work;
-  work->done = [this, call, attempt, target](bool is_whole) {
-    Node& beside = *this->nodes[target];
-    if (beside.life != call->life) {
+  work->done = [this, call, attempt, target](bool is_completed) {
+    Node& target_node = *this->nodes[target];
+    if (target_node.incarnation != call->node_incarnation) {
       return;
     }
-    --beside.running;
-    if (call->work->was_refused) {
-      control::NoteTurnedAway(this->RouteOf(*call->spec.root), beside.meter);
-      this->Reply(call, attempt, AttemptEnd::kRefusedByTarget);
+    --target_node.running;
+    if (call->work->is_refused) {
+      control::NoteTurnedAway(this->RouteKey(*call->spec.root),
+                              target_node.meter);
+      this->Reply(call, attempt, AttemptResult::kRefusedByTarget);
       return;
     }
-    control::AddRuns({KeyOf(this->world.instances[target].service), 1},
-                     call->spec.root->ran);
-    const double took = this->world.clock.Now() - call->dispatched_ms;
-    control::NoteWork(this->RouteOf(*call->spec.root),
-                      this->world.clock.NowMillis(), LatencyMs{took},
-                      beside.meter);
-    this->Reply(call, attempt,
-                is_whole ? AttemptEnd::kWhole : AttemptEnd::kFailed);
-    this->Fill(target);
+    control::AddRuns(
+        {ServiceKey(this->simulation.instances[target].service), 1},
+        call->spec.root->runs_by_service);
+    const double took = this->simulation.clock.Now() - call->dispatched_ms;
+    control::NoteWork(this->RouteKey(*call->spec.root),
+                      this->simulation.clock.NowMillis(), LatencyMs{took},
+                      target_node.meter);
+    this->Reply(
+        call, attempt,
+        is_completed ? AttemptResult::kCompleted : AttemptResult::kFailed);
+    this->DispatchQueued(target);
   };
-  this->world.Submit(work);
+  this->simulation.Submit(work);
 }
 
-void RelayPath::Reply(const OutCallPointer& call, int attempt, AttemptEnd end) {
+void RelayPath::Reply(const OutgoingCallPointer& call,
+                      int attempt,
+                      AttemptResult result) {
   const std::size_t target = call->target;
   const std::uint32_t load =
       this->nodes[target]->running +
       static_cast<std::uint32_t>(this->nodes[target]->queue.size());
-  this->world.clock.After(
-      this->world.Latency(call->spec.entry, target),
-      [this, call, attempt, end, load]() {
+  this->simulation.clock.Schedule(
+      this->simulation.Latency(call->spec.entry, target),
+      [this, call, attempt, result, load]() {
         const std::size_t service =
-            this->world.operations[call->spec.operation].service;
+            this->simulation.operations[call->spec.operation].service;
         control::PlaceView& view =
-            this->nodes[call->spec.entry]->views[service][call->place];
+            this->nodes[call->spec.entry]->views[service][call->view_index];
         view.told_load = load;
         view.sent_since = 0;
-        this->OnEnd(call, attempt, end);
+        this->OnAttemptResult(call, attempt, result);
       });
 }
 
-void RelayPath::OnEnd(const OutCallPointer& call, int attempt, AttemptEnd end) {
+void RelayPath::OnAttemptResult(const OutgoingCallPointer& call,
+                                int attempt,
+                                AttemptResult result) {
   if (call->is_over || call->attempt != attempt) {
     return;
   }
-  const OperationInfo& info = this->world.operations[call->spec.operation];
+  const OperationInfo& info = this->simulation.operations[call->spec.operation];
   control::PlaceView& view =
-      this->nodes[call->spec.entry]->views[info.service][call->place];
-  const bool is_fault =
-      end == AttemptEnd::kLost || end == AttemptEnd::kRefusedByTarget;
-  control::NoteHealth(this->world.scenario.rules.health,
-                      this->world.clock.NowMillis(), is_fault, 0, view.health);
-  if (end == AttemptEnd::kWhole) {
+      this->nodes[call->spec.entry]->views[info.service][call->view_index];
+  const bool is_fault = result == AttemptResult::kLost ||
+                        result == AttemptResult::kRefusedByTarget;
+  control::NoteHealth(this->simulation.scenario.relay_rules.health,
+                      this->simulation.clock.NowMillis(), is_fault, 0,
+                      view.health);
+  if (result == AttemptResult::kCompleted) {
     this->Finish(call, CallResult{true});
     return;
   }
-  if (end == AttemptEnd::kNoSlot) {
+  if (result == AttemptResult::kNoSlot) {
     this->Finish(call, CallResult{false, ErrorKind::kOverloaded});
     return;
   }
   ++call->attempts;
-  const bool has_run = end != AttemptEnd::kRefusedByTarget;
+  const bool has_run = result != AttemptResult::kRefusedByTarget;
   if (!has_run) {
-    call->refused_by.push_back(call->place);
+    call->refused_by.push_back(call->view_index);
   }
   call->may_have_run = call->may_have_run || has_run;
-  if ((!has_run || info.spec->is_repeatable) && this->MayRepeat(call)) {
+  if ((!has_run || info.spec->is_repeatable) && this->ConsumeRepeat(call)) {
     this->Attempt(call);
     return;
   }
@@ -319,41 +335,45 @@
                                                     : ErrorKind::kOverloaded});
 }
 
-bool RelayPath::MayRepeat(const OutCallPointer& call) {
-  const OperationInfo& info = this->world.operations[call->spec.operation];
-  const bool has_place =
-      call->tried.size() < kAttempts || !call->refused_by.empty();
-  if (call->attempts >= this->world.scenario.rules.sends || !has_place ||
-      call->deadline_ms - this->world.clock.Now() < kLeastLeftMs) {
+bool RelayPath::ConsumeRepeat(const OutgoingCallPointer& call) {
+  const OperationInfo& info = this->simulation.operations[call->spec.operation];
+  const bool has_target =
+      call->tried.size() < kMaxTargetsPerCall || !call->refused_by.empty();
+  if (call->attempts >= this->simulation.scenario.relay_rules.max_sends ||
+      !has_target ||
+      call->deadline_ms - this->simulation.clock.Now() < kMinTimeToRepeatMs) {
     return false;
   }
-  control::RepeatRules rules = this->Repeats();
+  control::RepeatRules rules = this->EffectiveRepeatRules();
   rules.used_part /= static_cast<double>(info.chain_size);
   const RootRequest& root = *call->spec.root;
   control::RepeatWant want;
   want.priority = static_cast<std::uint32_t>(root.criticality);
-  want.calls =
-      static_cast<double>(this->world.operations[root.operation].chain_size);
-  want.done = control::RunsAt(KeyOf(info.service), root.ran);
+  want.calls = static_cast<double>(
+      this->simulation.operations[root.operation].chain_size);
+  want.done = control::RunsAt(ServiceKey(info.service), root.runs_by_service);
   want.root_hash = root.hash;
-  const double place = control::RepeatPlace(want);
-  return control::TakeRepeat(rules, place, this->world.clock.NowMillis(),
+  const double priority = control::RepeatPlace(want);
+  return control::TakeRepeat(rules, priority,
+                             this->simulation.clock.NowMillis(),
                              this->allowances[info.service]);
 }
 
-void RelayPath::Finish(const OutCallPointer& call, const CallResult& result) {
+void RelayPath::Finish(const OutgoingCallPointer& call,
+                       const CallResult& result) {
   if (call->is_over) {
     return;
   }
   call->is_over = true;
   const RootRequest& root = *call->spec.root;
   if (call->spec.parent == nullptr) {
-    control::NoteChain(this->RouteOf(root), root.ran, this->admission.chains);
+    control::NoteChain(this->RouteKey(root), root.runs_by_service,
+                       this->admission.chains);
   }
   call->done(result);
 }
 
-void RelayPath::TimeOut(const OutCallPointer& call) {
+void RelayPath::TimeOut(const OutgoingCallPointer& call) {
   if (call->is_over) {
     return;
   }
@@ -362,55 +382,58 @@
 }
 
 /// Ends a call; work that may run once is finished all the same.
-void RelayPath::Cancel(const OutCallPointer& call) {
+void RelayPath::Cancel(const OutgoingCallPointer& call) {
   if (call->is_over) {
     return;
   }
   call->is_over = true;
-  const OperationInfo& info = this->world.operations[call->spec.operation];
+  const OperationInfo& info = this->simulation.operations[call->spec.operation];
   if (call->work != nullptr && !call->work->is_over &&
-      call->life == this->nodes[call->target]->life &&
+      call->node_incarnation == this->nodes[call->target]->incarnation &&
       info.spec->is_repeatable) {
-    this->world.CancelWork(call->work);
+    this->simulation.CancelWork(call->work);
     --this->nodes[call->target]->running;
-    this->Fill(call->target);
+    this->DispatchQueued(call->target);
   }
 }
 
 /// What the nodes tell each other, and the shares worked out anew.
 void RelayPath::Tick() {
-  const Millis now = this->world.clock.NowMillis();
-  std::vector<control::ServiceRoom> services(this->world.by_service.size());
+  const Millis now = this->simulation.clock.NowMillis();
+  std::vector<control::ServiceRoom> services(
+      this->simulation.instances_by_service.size());
   for (std::size_t service = 0; service < services.size(); ++service) {
-    services[service].service = this->world.scenario.services[service].name;
-    services[service].key = KeyOf(service);
-    const std::vector<std::size_t>& targets = this->world.by_service[service];
-    for (std::size_t place = 0; place < targets.size(); ++place) {
-      Node& node = *this->nodes[targets[place]];
+    services[service].service =
+        this->simulation.scenario.services[service].name;
+    services[service].key = ServiceKey(service);
+    const std::vector<std::size_t>& targets =
+        this->simulation.instances_by_service[service];
+    for (std::size_t i = 0; i < targets.size(); ++i) {
+      Node& node = *this->nodes[targets[i]];
       control::UpdateDemand(now, node.meter);
       const bool is_lost =
-          this->world.HasFault(FaultKind::kLost, targets[place]);
+          this->simulation.HasFault(FaultKind::kLost, targets[i]);
       if (is_lost) {
         // Another process starts when the host is back.
-        ++node.life;
+        ++node.incarnation;
         node.running = 0;
         node.queue.clear();
         node.meter = control::DemandMeter();
       }
       control::TargetRoom target;
-      target.slots = is_lost ? 0 : this->SlotsOf(targets[place]);
+      target.slots = is_lost ? 0 : this->SlotsOf(targets[i]);
       target.waiting = static_cast<std::uint32_t>(node.queue.size());
       target.work_ms = control::MeanWorkMs(node.meter);
       target.demand = control::DemandOf(node.meter);
       for (const std::unique_ptr<Node>& entry : this->nodes) {
-        control::PlaceView& view = entry->views[service][place];
+        control::PlaceView& view = entry->views[service][i];
         view.is_open = !is_lost;
         view.told_load = node.running + target.waiting;
         view.sent_since = 0;
         view.work_ms = target.work_ms;
       }
       services[service].targets.push_back(std::move(target));
-      this->Fill(targets[place]);
+      this->DispatchQueued(targets[i]);
     }
   }
   control::UpdateRootRates(now, this->admission);
@@ -418,9 +441,9 @@
   for (const control::RootRate& rate : control::OwnRates(this->admission)) {
     control::AddRate(rate, roots);
   }
-  control::UpdateShares(this->world.scenario.rules.admission, services, roots,
-                        this->admission);
-  this->world.clock.After(kTickMs, [this]() { this->Tick(); });
+  control::UpdateShares(this->simulation.scenario.relay_rules.admission,
+                        services, roots, this->admission);
+  this->simulation.clock.Schedule(kTickMs, [this]() { this->Tick(); });
 }
 
 }  // namespace almondlink::model
--- a/libs/model/src/relay_path.h
+++ b/libs/model/src/relay_path.h
@@ -10,7 +10,7 @@
 #include "almondlink/control/chain_admission.h"
 #include "almondlink/control/placement.h"
 #include "almondlink/control/repeat_allowance.h"
-#include "world.h"
+#include "simulation.h"
 
 namespace almondlink::model {
 
@@ -23,19 +23,19 @@
 /// as old as the last answer or the last round of states.
 class RelayPath : public CallPath {
  public:
-  explicit RelayPath(World& world);
+  explicit RelayPath(Simulation& simulation);
   ~RelayPath() override;
   CallHandlePointer Call(const CallSpec& spec, CallDone done) override;
 
  private:
-  struct OutCall;
-  using OutCallPointer = std::shared_ptr<OutCall>;
+  struct OutgoingCall;
+  using OutgoingCallPointer = std::shared_ptr<OutgoingCall>;
   struct Node;
   struct Handle;
 
   /// How an attempt ended at the node beside the target.
-  enum class AttemptEnd {
-    kWhole,
+  enum class AttemptResult {
+    kCompleted,
     /// The target ran it and failed.
     kFailed,
     /// The target said that it did not run it.
@@ -47,26 +47,30 @@
   };
 
   // The entry node's side.
-  bool AdmitRoot(const OutCallPointer& call);
-  void Attempt(const OutCallPointer& call);
-  void OnEnd(const OutCallPointer& call, int attempt, AttemptEnd end);
-  bool MayRepeat(const OutCallPointer& call);
-  void Finish(const OutCallPointer& call, const CallResult& result);
-  void Cancel(const OutCallPointer& call);
-  void TimeOut(const OutCallPointer& call);
+  bool AdmitRoot(const OutgoingCallPointer& call);
+  void Attempt(const OutgoingCallPointer& call);
+  void OnAttemptResult(const OutgoingCallPointer& call,
+                       int attempt,
+                       AttemptResult result);
+  bool ConsumeRepeat(const OutgoingCallPointer& call);
+  void Finish(const OutgoingCallPointer& call, const CallResult& result);
+  void Cancel(const OutgoingCallPointer& call);
+  void TimeOut(const OutgoingCallPointer& call);
 
   // The node beside the target.
-  void Arrive(const OutCallPointer& call, std::size_t target);
-  void Fill(std::size_t target);
-  void Dispatch(std::size_t target, const OutCallPointer& call);
-  void Reply(const OutCallPointer& call, int attempt, AttemptEnd end);
+  void OnArrival(const OutgoingCallPointer& call, std::size_t target);
+  void DispatchQueued(std::size_t target);
+  void Dispatch(std::size_t target, const OutgoingCallPointer& call);
+  void Reply(const OutgoingCallPointer& call,
+             int attempt,
+             AttemptResult result);
 
   void Tick();
-  std::uint32_t RouteOf(const RootRequest& root) const;
-  control::RepeatRules Repeats() const;
+  std::uint32_t RouteKey(const RootRequest& root) const;
+  control::RepeatRules EffectiveRepeatRules() const;
   std::uint32_t SlotsOf(std::size_t target) const;
 
-  World& world;
+  Simulation& simulation;
   std::vector<std::unique_ptr<Node>> nodes;
   control::ChainAdmission admission;
   /// Repeats of each service, of all nodes together.
--- a/libs/model/src/relay_rules.cc
+++ b/libs/model/src/relay_rules.cc
@@ -11,8 +11,8 @@
 /// One rule that can be varied, with the bounds of its setting.
 struct Rule {
   const char* setting;
-  double least;
-  double most;
+  double min;
+  double max;
   void (*set)(double value, RelayRules& rules);
 };
 
@@ -45,10 +45,10 @@
     {"repeat_kept", 0, 1,
      [](double v, RelayRules& r) { r.repeats.kept_part = v; }},
     {"repeat_sends", 1, 32,
-     [](double v, RelayRules& r) { r.sends = static_cast<int>(v); }},
+     [](double v, RelayRules& r) { r.max_sends = static_cast<int>(v); }},
 };
 
-std::string Names() {
+std::string SettingNames() {
   std::string names;
   for (const Rule& rule : kRules) {
     names.append(names.empty() ? "" : ", ").append(rule.setting);
@@ -66,7 +66,7 @@
       [&setting](const Rule& rule) { return setting == rule.setting; });
   if (found == std::end(kRules)) {
     return Fail(ErrorKind::kBadSettings,
-                "cannot vary '" + setting + "', only " + Names());
+                "cannot vary '" + setting + "', only " + SettingNames());
   }
   char* end = nullptr;
   double number = std::strtod(value.c_str(), &end);
@@ -77,11 +77,11 @@
     return Fail(ErrorKind::kBadSettings,
                 setting + ": '" + value + "' is not a number");
   }
-  if (!(number >= found->least && number <= found->most)) {
+  if (!(number >= found->min && number <= found->max)) {
     return Fail(ErrorKind::kBadSettings,
                 setting + ": " + value + " is not between " +
-                    std::to_string(found->least) + " and " +
-                    std::to_string(found->most));
+                    std::to_string(found->min) + " and " +
+                    std::to_string(found->max));
   }
   found->set(number, rules);
   return {};
--- a/libs/model/src/replay.cc
+++ b/libs/model/src/replay.cc
@@ -5,9 +5,9 @@
 #include <memory>
 
 #include "almondlink_path.h"
-#include "plain_path.h"
+#include "baseline_path.h"
 #include "relay_path.h"
-#include "world.h"
+#include "simulation.h"
 
 namespace almondlink::model {
 
@@ -16,198 +16,204 @@
 /// The callers of a replay: they ask, repeat what failed, and give up.
 class Callers {
  public:
-  explicit Callers(World& world) : world(world) {}
+  explicit Callers(Simulation& simulation) : simulation(simulation) {}
 
   void Start() {
-    for (const ArrivalModel& arrival : this->world.scenario.arrivals) {
-      const std::size_t operation = this->Find(arrival.operation);
-      this->world.clock.After(arrival.from_ms, [this, &arrival, operation]() {
-        this->NextArrival(arrival, operation);
-      });
+    for (const ArrivalModel& arrival : this->simulation.scenario.arrivals) {
+      const std::size_t operation = this->FindOperation(arrival.operation);
+      this->simulation.clock.Schedule(arrival.from_ms,
+                                      [this, &arrival, operation]() {
+                                        this->NextArrival(arrival, operation);
+                                      });
     }
-    for (const RecordedCall& call : this->world.scenario.calls) {
-      const std::size_t operation = this->Find(call.operation);
-      this->world.clock.After(call.at_ms,
-                              [this, operation]() { this->Ask(operation); });
+    for (const RecordedCall& call : this->simulation.scenario.recorded_calls) {
+      const std::size_t operation = this->FindOperation(call.operation);
+      this->simulation.clock.Schedule(
+          call.at_ms, [this, operation]() { this->SendRequest(operation); });
     }
   }
 
  private:
-  std::size_t Find(const std::string& name) const {
-    const auto found = std::find_if(this->world.operations.begin(),
-                                    this->world.operations.end(),
+  std::size_t FindOperation(const std::string& name) const {
+    const auto found = std::find_if(this->simulation.operations.begin(),
+                                    this->simulation.operations.end(),
                                     [&name](const OperationInfo& info) {
                                       return info.spec->name.Value() == name;
                                     });
-    return static_cast<std::size_t>(found - this->world.operations.begin());
+    return static_cast<std::size_t>(found -
+                                    this->simulation.operations.begin());
   }
 
   void NextArrival(const ArrivalModel& arrival, std::size_t operation) {
-    if (this->world.clock.Now() >= arrival.to_ms) {
+    if (this->simulation.clock.Now() >= arrival.to_ms) {
       return;
     }
-    this->Ask(operation);
-    const double gap =
-        -std::log(1 - this->world.Draw()) * 1000 / arrival.per_second;
-    this->world.clock.After(gap, [this, &arrival, operation]() {
+    this->SendRequest(operation);
+    const double gap = -std::log(1 - this->simulation.DrawUniform()) * 1000 /
+                       arrival.per_second;
+    this->simulation.clock.Schedule(gap, [this, &arrival, operation]() {
       this->NextArrival(arrival, operation);
     });
   }
 
   std::size_t BucketOf(double time_ms) const {
-    return std::min(this->world.outcome.asked.size() - 1,
+    return std::min(this->simulation.outcome.requested.size() - 1,
                     static_cast<std::size_t>(time_ms / kBucketMs));
   }
 
-  bool IsInCause(const RootRequest& root) const {
-    return root.asked_ms >= this->world.scenario.cause_from_ms &&
-           root.asked_ms < this->world.scenario.cause_to_ms;
+  bool IsInDisturbance(const RootRequest& root) const {
+    return root.arrived_ms >= this->simulation.scenario.disturbance_from_ms &&
+           root.arrived_ms < this->simulation.scenario.disturbance_to_ms;
   }
 
-  void Ask(std::size_t operation) {
-    const OperationInfo& info = this->world.operations[operation];
+  void SendRequest(std::size_t operation) {
+    const OperationInfo& info = this->simulation.operations[operation];
     const RootPointer root = std::make_shared<RootRequest>();
     root->operation = operation;
-    root->root = RootId{this->world.random(), this->world.random()};
-    root->hash = this->world.random() | 1U;
+    root->root_id =
+        RootId{this->simulation.random(), this->simulation.random()};
+    root->hash = this->simulation.random() | 1U;
     root->criticality = info.spec->criticality;
-    root->asked_ms = this->world.clock.Now();
-    Outcome& outcome = this->world.outcome;
-    ClassOutcome& of =
+    root->arrived_ms = this->simulation.clock.Now();
+    Outcome& outcome = this->simulation.outcome;
+    ClassOutcome& totals =
         outcome.classes[static_cast<std::size_t>(root->criticality)];
-    ++of.asked;
-    outcome.weighted_asked += static_cast<double>(info.spec->weight);
-    outcome.asked[BucketOf(root->asked_ms)] +=
+    ++totals.requests;
+    outcome.weighted_requests += static_cast<double>(info.spec->weight);
+    outcome.requested[BucketOf(root->arrived_ms)] +=
         static_cast<double>(info.spec->weight);
-    outcome.times[static_cast<std::size_t>(root->criticality)]
-        .asked[BucketOf(root->asked_ms)] += 1;
-    if (this->IsInCause(*root)) {
-      ++of.asked_in_cause;
-      outcome.weighted_asked_in_cause += static_cast<double>(info.spec->weight);
+    outcome.class_counts[static_cast<std::size_t>(root->criticality)]
+        .requests[BucketOf(root->arrived_ms)] += 1;
+    if (this->IsInDisturbance(*root)) {
+      ++totals.requests_in_disturbance;
+      outcome.weighted_requests_in_disturbance +=
+          static_cast<double>(info.spec->weight);
     }
-    this->Try(root, static_cast<std::size_t>(this->world.random() %
-                                             this->world.instances.size()));
+    this->StartTry(root,
+                   static_cast<std::size_t>(this->simulation.random() %
+                                            this->simulation.instances.size()));
   }
 
   /// One try; the caller stays with its entry node.
-  void Try(const RootPointer& root, std::size_t entry) {
-    const OperationInfo& info = this->world.operations[root->operation];
+  void StartTry(const RootPointer& root, std::size_t entry) {
+    const OperationInfo& info = this->simulation.operations[root->operation];
     ++root->tries;
     root->retries_in_try = 0;
-    root->deadline_ms =
-        this->world.clock.Now() + static_cast<double>(info.spec->timeout.count);
+    root->deadline_ms = this->simulation.clock.Now() +
+                        static_cast<double>(info.spec->timeout.count);
     // Entered at a living node: callers connect elsewhere when one is gone.
-    while (this->world.HasFault(FaultKind::kLost, entry)) {
-      entry = (entry + 1) % this->world.instances.size();
+    while (this->simulation.HasFault(FaultKind::kLost, entry)) {
+      entry = (entry + 1) % this->simulation.instances.size();
     }
-    this->world.clock.After(
-        this->world.scenario.client_ms, [this, root, entry]() {
+    this->simulation.clock.Schedule(
+        this->simulation.scenario.client_latency_ms, [this, root, entry]() {
           CallSpec spec;
           spec.root = root;
           spec.operation = root->operation;
           spec.entry = entry;
           spec.deadline_ms = root->deadline_ms;
-          this->world.path->Call(spec,
-                                 [this, root, entry](const CallResult& result) {
-                                   this->OnResult(root, entry, result);
-                                 });
+          this->simulation.path->Call(
+              spec, [this, root, entry](const CallResult& result) {
+                this->OnResult(root, entry, result);
+              });
         });
   }
 
   void OnResult(const RootPointer& root,
                 std::size_t entry,
                 const CallResult& result) {
-    Outcome& outcome = this->world.outcome;
-    const OperationInfo& info = this->world.operations[root->operation];
+    Outcome& outcome = this->simulation.outcome;
+    const OperationInfo& info = this->simulation.operations[root->operation];
     outcome.grant_exceeded += root->retries_in_try > info.spec->retries ? 1 : 0;
-    const bool is_in_time = this->world.clock.Now() <= root->deadline_ms;
-    if (result.is_whole && is_in_time) {
-      this->Succeed(*root);
+    const bool is_in_time = this->simulation.clock.Now() <= root->deadline_ms;
+    if (result.is_completed && is_in_time) {
+      this->CompleteRequest(*root);
       return;
     }
     // An at-most-once request whose outcome is unknown is not sent anew.
     const bool may_repeat = info.spec->is_repeatable ||
                             AnswerFor(result.kind).verdict == Verdict::kNotRun;
-    if (root->tries < this->world.scenario.callers.tries && may_repeat) {
-      const double pause =
-          this->world.scenario.callers.pause_ms * (0.5 + this->world.Draw());
-      this->world.clock.After(
-          pause, [this, root, entry]() { this->Try(root, entry); });
+    if (root->tries < this->simulation.scenario.callers.tries && may_repeat) {
+      const double pause = this->simulation.scenario.callers.pause_ms *
+                           (0.5 + this->simulation.DrawUniform());
+      this->simulation.clock.Schedule(
+          pause, [this, root, entry]() { this->StartTry(root, entry); });
       return;
     }
-    this->End(*root);
+    this->FinishRequest(*root);
   }
 
-  void Succeed(RootRequest& root) {
-    Outcome& outcome = this->world.outcome;
+  void CompleteRequest(RootRequest& root) {
+    Outcome& outcome = this->simulation.outcome;
     const auto weight = static_cast<double>(
-        this->world.operations[root.operation].spec->weight);
-    ClassOutcome& of =
+        this->simulation.operations[root.operation].spec->weight);
+    ClassOutcome& totals =
         outcome.classes[static_cast<std::size_t>(root.criticality)];
-    ++of.whole;
-    outcome.weighted_whole += weight;
-    if (this->IsInCause(root)) {
-      ++of.whole_in_cause;
-      outcome.weighted_whole_in_cause += weight;
+    ++totals.completed;
+    outcome.weighted_completed += weight;
+    if (this->IsInDisturbance(root)) {
+      ++totals.completed_in_disturbance;
+      outcome.weighted_completed_in_disturbance += weight;
     }
-    outcome.goodput[this->BucketOf(this->world.clock.Now())] += weight;
-    outcome.whole_by_asked[this->BucketOf(root.asked_ms)] += weight;
-    outcome.times[static_cast<std::size_t>(root.criticality)]
-        .whole[this->BucketOf(root.asked_ms)] += 1;
-    this->End(root);
+    outcome.goodput[this->BucketOf(this->simulation.clock.Now())] += weight;
+    outcome.completed_by_arrival[this->BucketOf(root.arrived_ms)] += weight;
+    outcome.class_counts[static_cast<std::size_t>(root.criticality)]
+        .completed[this->BucketOf(root.arrived_ms)] += 1;
+    this->FinishRequest(root);
   }
 
-  void End(RootRequest& root) {
+  void FinishRequest(RootRequest& root) {
     root.is_done = true;
-    Outcome& outcome = this->world.outcome;
-    const OperationInfo& info = this->world.operations[root.operation];
+    Outcome& outcome = this->simulation.outcome;
+    const OperationInfo& info = this->simulation.operations[root.operation];
     const double attempts = static_cast<double>(root.calls) / info.chain_size;
     outcome.attempts_max = std::max(outcome.attempts_max, attempts);
     this->attempts_sum += attempts;
-    ++this->ended;
+    ++this->finished_requests;
     outcome.attempts_mean =
-        this->attempts_sum / static_cast<double>(this->ended);
+        this->attempts_sum / static_cast<double>(this->finished_requests);
     // A key is one request here: what callers send again has the same key.
-    outcome.ran_twice += root.runs > 1 ? 1 : 0;
+    outcome.ran_twice += root.at_most_once_runs > 1 ? 1 : 0;
   }
 
-  World& world;
+  Simulation& simulation;
   double attempts_sum = 0;
-  std::uint64_t ended = 0;
+  std::uint64_t finished_requests = 0;
 };
 
 }  // namespace
 
-const char* ToString(Control control) {
+const char* ToString(ControlKind control) {
   switch (control) {
-    case Control::kAlmondlink:
+    case ControlKind::kAlmondlink:
       return "almondlink";
-    case Control::kRelay:
+    case ControlKind::kRelay:
       return "relay";
-    case Control::kNone:
+    case ControlKind::kNone:
       return "none";
-    case Control::kFixedLimit:
+    case ControlKind::kFixedLimit:
       return "fixed limit";
   }
   return "none";
 }
 
-Outcome Replay(const Scenario& scenario, Control control) {
-  World world(scenario);
+Outcome Replay(const Scenario& scenario, ControlKind control) {
+  Simulation simulation(scenario);
   std::unique_ptr<CallPath> path;
-  if (control == Control::kAlmondlink) {
-    path = std::make_unique<AlmondlinkPath>(world);
-  } else if (control == Control::kRelay) {
-    path = std::make_unique<RelayPath>(world);
+  if (control == ControlKind::kAlmondlink) {
+    path = std::make_unique<AlmondlinkPath>(simulation);
+  } else if (control == ControlKind::kRelay) {
+    path = std::make_unique<RelayPath>(simulation);
   } else {
-    path = std::make_unique<PlainPath>(world, control == Control::kFixedLimit);
+    path = std::make_unique<BaselinePath>(simulation,
+                                          control == ControlKind::kFixedLimit);
   }
-  world.path = path.get();
-  Callers callers(world);
+  simulation.path = path.get();
+  Callers callers(simulation);
   callers.Start();
-  world.clock.RunUntil(scenario.duration_ms);
-  FindRecovery(scenario, world.outcome);
-  return world.outcome;
+  simulation.clock.RunUntil(scenario.duration_ms);
+  ComputeRecoveryTime(scenario, simulation.outcome);
+  return simulation.outcome;
 }
 
 }  // namespace almondlink::model
--- a/libs/model/src/scenario.cc
+++ b/libs/model/src/scenario.cc
@@ -18,24 +18,24 @@
       {"slow", FaultKind::kSlow},
       {"lost", FaultKind::kLost},
       {"cold", FaultKind::kCold},
-      {"lying", FaultKind::kLying},
+      {"lying", FaultKind::kFailingWhileHealthy},
       {"silent-links", FaultKind::kSilentLinks},
       {"log-down", FaultKind::kLogDown},
       {"shedding", FaultKind::kShedding}};
   return kKinds;
 }
 
-const std::map<std::string, Control>& Controls() {
-  static const std::map<std::string, Control> kControls = {
-      {"almondlink", Control::kAlmondlink}, {"relay", Control::kRelay}};
+const std::map<std::string, ControlKind>& Controls() {
+  static const std::map<std::string, ControlKind> kControls = {
+      {"almondlink", ControlKind::kAlmondlink}, {"relay", ControlKind::kRelay}};
   return kControls;
 }
 
 void ReadDeployment(const Json& line, Scenario& scenario) {
   scenario.seed = line.value("seed", std::uint64_t{1});
   scenario.duration_ms = line.at("duration_ms").get<double>();
-  scenario.zone_ms = line.value("zone_ms", 1.0);
-  scenario.client_ms = line.value("client_ms", 1.0);
+  scenario.zone_latency_ms = line.value("zone_ms", 1.0);
+  scenario.client_latency_ms = line.value("client_ms", 1.0);
   scenario.zones = line.at("zones").get<std::vector<std::string>>();
   scenario.control =
       Controls().at(line.value("control", std::string("almondlink")));
@@ -67,8 +67,9 @@
   // A node records the calls that services make, too; they follow from the
   // chains here.
   if (line.value("depth", 0) == 0) {
-    scenario.calls.push_back({line.at("at_ms").get<double>(),
-                              line.at("operation").get<std::string>()});
+    scenario.recorded_calls.push_back(
+        {line.at("at_ms").get<double>(),
+         line.at("operation").get<std::string>()});
   }
 }
 
@@ -91,18 +92,18 @@
 }
 
 void ReadCause(const Json& line, Scenario& scenario) {
-  scenario.cause_from_ms = line.at("from_ms").get<double>();
-  scenario.cause_to_ms = line.at("to_ms").get<double>();
+  scenario.disturbance_from_ms = line.at("from_ms").get<double>();
+  scenario.disturbance_to_ms = line.at("to_ms").get<double>();
 }
 
 void ReadExpectation(const Json& line, int number, Scenario& scenario) {
   Expectation expectation;
   expectation.figure = line.at("figure").get<std::string>();
   expectation.criticality = line.value("class", "");
-  expectation.has_least = line.contains("at_least");
-  expectation.has_most = line.contains("at_most");
-  expectation.at_least = line.value("at_least", 0.0);
-  expectation.at_most = line.value("at_most", 0.0);
+  expectation.has_min = line.contains("at_least");
+  expectation.has_max = line.contains("at_most");
+  expectation.min_value = line.value("at_least", 0.0);
+  expectation.max_value = line.value("at_most", 0.0);
   expectation.line = number;
   scenario.expectations.push_back(expectation);
 }
@@ -133,7 +134,7 @@
 }
 
 /// Why a scenario cannot be run, or nothing.
-std::string FaultOf(const Scenario& scenario) {
+std::string ValidationError(const Scenario& scenario) {
   std::set<std::string> services;
   for (const ServiceModel& service : scenario.services) {
     const bool is_valid =
@@ -150,7 +151,7 @@
   for (const ArrivalModel& arrival : scenario.arrivals) {
     named.push_back(arrival.operation);
   }
-  for (const RecordedCall& call : scenario.calls) {
+  for (const RecordedCall& call : scenario.recorded_calls) {
     named.push_back(call.operation);
   }
   for (const ChainModel& chain : scenario.chains) {
@@ -205,9 +206,9 @@
   }
   BOOST_LEAF_AUTO(bundle_text, config::ReadFile(folder + bundle));
   BOOST_LEAF_ASSIGN(scenario.bundle, policy::RequireBundle(bundle_text));
-  const std::string fault = FaultOf(scenario);
-  if (!fault.empty()) {
-    return Fail(ErrorKind::kBadSettings, name + ": " + fault);
+  const std::string problem = ValidationError(scenario);
+  if (!problem.empty()) {
+    return Fail(ErrorKind::kBadSettings, name + ": " + problem);
   }
   return scenario;
 }
--- a/libs/model/src/world.cc
+++ b/libs/model/src/simulation.cc
@@ -1,4 +1,4 @@
-#include "world.h"
+#include "simulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -9,10 +9,10 @@
 namespace {
 
 /// Latency within an availability zone.
-constexpr double kNearMs = 0.1;
+constexpr double kSameZoneLatencyMs = 0.1;
 /// Work time: this share is fixed, the rest exponential.
-constexpr double kFixedShare = 0.5;
-constexpr int kLongestChain = 9;
+constexpr double kFixedWorkShare = 0.5;
+constexpr int kMaxChainDepth = 9;
 
 std::size_t ServiceIndex(const Scenario& scenario, const std::string& name) {
   for (std::size_t i = 0; i < scenario.services.size(); ++i) {
@@ -27,7 +27,7 @@
               std::size_t operation,
               int depth) {
   int size = 1;
-  if (depth < kLongestChain) {
+  if (depth < kMaxChainDepth) {
     for (const std::size_t call : operations[operation].calls) {
       size += ChainSize(operations, call, depth + 1);
     }
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-World::World(const Scenario& scenario)
+Simulation::Simulation(const Scenario& scenario)
     : scenario(scenario), random(scenario.seed) {
   const std::vector<policy::OperationSpec>& specs = scenario.bundle.operations;
   for (const policy::OperationSpec& spec : specs) {
@@ -66,7 +66,7 @@
   for (std::size_t i = 0; i < this->operations.size(); ++i) {
     this->operations[i].chain_size = ChainSize(this->operations, i, 1);
   }
-  this->by_service.resize(scenario.services.size());
+  this->instances_by_service.resize(scenario.services.size());
   for (std::size_t service = 0; service < scenario.services.size(); ++service) {
     for (int i = 0; i < scenario.services[service].instances; ++i) {
       Instance instance;
@@ -74,59 +74,60 @@
       instance.index = static_cast<std::size_t>(i);
       instance.zone =
           scenario.zones[static_cast<std::size_t>(i) % scenario.zones.size()];
-      this->by_service[service].push_back(this->instances.size());
+      this->instances_by_service[service].push_back(this->instances.size());
       this->instances.push_back(std::move(instance));
     }
   }
   const std::size_t buckets =
       static_cast<std::size_t>(scenario.duration_ms / kBucketMs) + 1;
   this->outcome.goodput.resize(buckets);
-  this->outcome.whole_by_asked.resize(buckets);
-  this->outcome.asked.resize(buckets);
-  for (TimeSeries& times : this->outcome.times) {
-    times.asked.resize(buckets);
-    times.whole.resize(buckets);
+  this->outcome.completed_by_arrival.resize(buckets);
+  this->outcome.requested.resize(buckets);
+  for (TimeSeries& times : this->outcome.class_counts) {
+    times.requests.resize(buckets);
+    times.completed.resize(buckets);
   }
 }
 
-double World::Draw() {
+double Simulation::DrawUniform() {
   return static_cast<double>(this->random() >> 11) * 0x1.0p-53;
 }
 
-double World::Latency(std::size_t from, std::size_t to) const {
+double Simulation::Latency(std::size_t from, std::size_t to) const {
   return this->instances[from].zone == this->instances[to].zone
-             ? kNearMs
-             : this->scenario.zone_ms;
+             ? kSameZoneLatencyMs
+             : this->scenario.zone_latency_ms;
 }
 
-bool World::IsHeldBy(const FaultModel& fault, std::size_t instance) const {
-  const Instance& held = this->instances[instance];
+bool Simulation::IsAffectedBy(const FaultModel& fault,
+                              std::size_t instance) const {
+  const Instance& affected = this->instances[instance];
   const bool is_service =
       fault.service.empty() ||
-      fault.service == this->scenario.services[held.service].name;
-  const bool is_zone = fault.zone.empty() || fault.zone == held.zone;
+      fault.service == this->scenario.services[affected.service].name;
+  const bool is_zone = fault.zone.empty() || fault.zone == affected.zone;
   const bool is_instance =
       fault.instance < 0 ||
-      static_cast<std::size_t>(fault.instance) == held.index;
+      static_cast<std::size_t>(fault.instance) == affected.index;
   const double now = this->clock.Now();
   return is_service && is_zone && is_instance && now >= fault.from_ms &&
          now < fault.to_ms;
 }
 
-double World::FaultStart(FaultKind kind, std::size_t instance) const {
+double Simulation::FaultStart(FaultKind kind, std::size_t instance) const {
   for (const FaultModel& fault : this->scenario.faults) {
-    if (fault.kind == kind && this->IsHeldBy(fault, instance)) {
+    if (fault.kind == kind && this->IsAffectedBy(fault, instance)) {
       return fault.from_ms;
     }
   }
   return -1;
 }
 
-bool World::HasFault(FaultKind kind, std::size_t instance) const {
+bool Simulation::HasFault(FaultKind kind, std::size_t instance) const {
   return this->FaultStart(kind, instance) >= 0;
 }
 
-bool World::IsLogDown() const {
+bool Simulation::IsLogDown() const {
   const double now = this->clock.Now();
   for (const FaultModel& fault : this->scenario.faults) {
     if (fault.kind == FaultKind::kLogDown && now >= fault.from_ms &&
@@ -137,20 +138,21 @@
   return false;
 }
 
-bool World::IsShedding(std::size_t instance) {
+bool Simulation::DrawRefusal(std::size_t instance) {
   for (const FaultModel& fault : this->scenario.faults) {
-    if (fault.kind == FaultKind::kShedding && this->IsHeldBy(fault, instance)) {
-      return this->Draw() < fault.factor;
+    if (fault.kind == FaultKind::kShedding &&
+        this->IsAffectedBy(fault, instance)) {
+      return this->DrawUniform() < fault.factor;
     }
   }
   return false;
 }
 
-double World::WorkTime(const WorkPointer& work) {
+double Simulation::DrawWorkTime(const WorkPointer& work) {
   const Instance& instance = this->instances[work->instance];
   double mean = this->operations[work->operation].work_ms;
   for (const FaultModel& fault : this->scenario.faults) {
-    if (!this->IsHeldBy(fault, work->instance)) {
+    if (!this->IsAffectedBy(fault, work->instance)) {
       continue;
     }
     if (fault.kind == FaultKind::kSlow) {
@@ -161,17 +163,18 @@
       mean *= 1 + (fault.factor - 1) * left;
     }
   }
-  const double exponential = -std::log(1 - this->Draw());
-  return mean * (kFixedShare + (1 - kFixedShare) * exponential);
+  const double exponential = -std::log(1 - this->DrawUniform());
+  return mean * (kFixedWorkShare + (1 - kFixedWorkShare) * exponential);
 }
 
-void World::Submit(const WorkPointer& work) {
+void Simulation::Submit(const WorkPointer& work) {
   Instance& instance = this->instances[work->instance];
   if (this->HasFault(FaultKind::kLost, work->instance)) {
     return;
   }
-  work->was_refused = this->IsShedding(work->instance);
-  if (work->was_refused || this->HasFault(FaultKind::kLying, work->instance)) {
+  work->is_refused = this->DrawRefusal(work->instance);
+  if (work->is_refused ||
+      this->HasFault(FaultKind::kFailingWhileHealthy, work->instance)) {
     work->is_over = true;
     work->done(false);
     return;
@@ -184,18 +187,18 @@
   this->StartWork(work);
 }
 
-void World::StartWork(const WorkPointer& work) {
+void Simulation::StartWork(const WorkPointer& work) {
   ++this->instances[work->instance].running;
   work->is_running = true;
-  ++this->outcome.target_work;
+  ++this->outcome.target_runs;
   if (!this->operations[work->operation].spec->is_repeatable) {
-    ++work->root->runs;
+    ++work->root->at_most_once_runs;
   }
-  this->clock.After(this->WorkTime(work),
-                    [this, work]() { this->AfterOwnWork(work); });
+  this->clock.Schedule(this->DrawWorkTime(work),
+                       [this, work]() { this->OnOwnWorkDone(work); });
 }
 
-void World::AfterOwnWork(const WorkPointer& work) {
+void Simulation::OnOwnWorkDone(const WorkPointer& work) {
   if (work->is_over) {
     return;
   }
@@ -205,13 +208,13 @@
     this->FreeSlot(this->instances[work->instance]);
     return;
   }
-  this->NextCall(work);
+  this->MakeNextCall(work);
 }
 
-void World::NextCall(const WorkPointer& work) {
+void Simulation::MakeNextCall(const WorkPointer& work) {
   const OperationInfo& info = this->operations[work->operation];
   if (work->next_call >= info.calls.size()) {
-    this->EndWork(work, true);
+    this->FinishWork(work, true);
     return;
   }
   CallSpec spec;
@@ -221,31 +224,33 @@
   spec.depth = work->depth + 1;
   spec.deadline_ms = work->deadline_ms;
   spec.parent = work;
-  work->child = this->path->Call(spec, [this, work](const CallResult& result) {
-    work->child = nullptr;
-    if (work->is_over) {
-      return;
-    }
-    work->downstream = std::max(work->downstream, result.downstream);
-    if (result.is_whole) {
-      this->NextCall(work);
-    } else {
-      work->is_call_failed = true;
-      this->EndWork(work, false);
-    }
-  });
+  work->open_call =
+      this->path->Call(spec, [this, work](const CallResult& result) {
+        work->open_call = nullptr;
+        if (work->is_over) {
+          return;
+        }
+        work->downstream_level =
+            std::max(work->downstream_level, result.downstream_level);
+        if (result.is_completed) {
+          this->MakeNextCall(work);
+        } else {
+          work->has_failed_call = true;
+          this->FinishWork(work, false);
+        }
+      });
 }
 
-void World::EndWork(const WorkPointer& work, bool is_whole) {
+void Simulation::FinishWork(const WorkPointer& work, bool is_completed) {
   work->is_over = true;
   this->FreeSlot(this->instances[work->instance]);
-  if (work->root->is_done && is_whole) {
-    ++this->outcome.wasted;
+  if (work->root->is_done && is_completed) {
+    ++this->outcome.wasted_runs;
   }
-  work->done(is_whole);
+  work->done(is_completed);
 }
 
-void World::FreeSlot(Instance& instance) {
+void Simulation::FreeSlot(Instance& instance) {
   --instance.running;
   while (!instance.queue.empty()) {
     const WorkPointer next = instance.queue.front();
@@ -257,14 +262,14 @@
   }
 }
 
-void World::CancelWork(const WorkPointer& work) {
+void Simulation::CancelWork(const WorkPointer& work) {
   if (work->is_over) {
     return;
   }
   work->is_over = true;
-  if (work->child != nullptr) {
-    const CallHandlePointer child = std::move(work->child);
-    work->child = nullptr;
+  if (work->open_call != nullptr) {
+    const CallHandlePointer child = std::move(work->open_call);
+    work->open_call = nullptr;
     child->Cancel();
   }
   if (work->is_running) {
--- a/libs/model/src/world.h
+++ b/libs/model/src/simulation.h
@@ -1,5 +1,5 @@
-#ifndef ALMONDLINK_MODEL_SRC_WORLD_H_
-#define ALMONDLINK_MODEL_SRC_WORLD_H_
+#ifndef ALMONDLINK_MODEL_SRC_SIMULATION_H_
+#define ALMONDLINK_MODEL_SRC_SIMULATION_H_
 
 #include <cstdint>
 #include <deque>
@@ -14,7 +14,7 @@
 #include "almondlink/control/retry_grant.h"
 #include "almondlink/model/outcome.h"
 #include "almondlink/model/scenario.h"
-#include "clockwork.h"
+#include "virtual_clock.h"
 
 /// What a replay consists of, whatever control stands in it.
 namespace almondlink::model {
@@ -33,29 +33,29 @@
 /// One request of a caller, over all its tries.
 struct RootRequest {
   std::size_t operation = 0;
-  RootId root;
+  RootId root_id;
   std::uint64_t hash = 0;
   Criticality criticality = Criticality::kNormal;
-  double asked_ms = 0;
+  double arrived_ms = 0;
   double deadline_ms = 0;
   int tries = 0;
   bool is_done = false;
   /// Calls made, and retries that nodes spent in the current try.
   std::uint64_t calls = 0;
   /// Runs of the current try by service, from 1 on.
-  control::CallCounts ran;
+  control::CallCounts runs_by_service;
   std::uint32_t retries_in_try = 0;
   /// How often an at-most-once operation ran for it.
-  int runs = 0;
+  int at_most_once_runs = 0;
 };
 using RootPointer = std::shared_ptr<RootRequest>;
 
 /// How a call ended.
 struct CallResult {
-  bool is_whole = false;
+  bool is_completed = false;
   ErrorKind kind = ErrorKind::kNone;
   /// Pressure level met, here or deeper.
-  std::uint32_t downstream = 0;
+  std::uint32_t downstream_level = 0;
   Millis retry_after{-1};
 };
 using CallDone = std::function<void(const CallResult&)>;
@@ -76,16 +76,16 @@
   int depth = 0;
   double deadline_ms = 0;
   control::RetryGrant grant;
-  std::uint32_t downstream = 0;
+  std::uint32_t downstream_level = 0;
   /// A call that the work made failed.
-  bool is_call_failed = false;
+  bool has_failed_call = false;
   bool is_running = false;
   bool is_over = false;
   /// The target said that it did not run it.
-  bool was_refused = false;
+  bool is_refused = false;
   std::size_t next_call = 0;
-  CallHandlePointer child;
-  std::function<void(bool is_whole)> done;
+  CallHandlePointer open_call;
+  std::function<void(bool is_completed)> done;
 };
 using WorkPointer = std::shared_ptr<Work>;
 
@@ -118,22 +118,22 @@
 };
 
 /// Scenario, time, randomness, targets and figures.
-class World {
+class Simulation {
  public:
-  explicit World(const Scenario& scenario);
+  explicit Simulation(const Scenario& scenario);
 
   const Scenario& scenario;
-  Clockwork clock;
+  VirtualClock clock;
   std::mt19937_64 random;
   std::vector<OperationInfo> operations;
   std::vector<Instance> instances;
   /// Instances by service.
-  std::vector<std::vector<std::size_t>> by_service;
+  std::vector<std::vector<std::size_t>> instances_by_service;
   Outcome outcome;
   CallPath* path = nullptr;
 
   /// Uniform in [0, 1).
-  double Draw();
+  double DrawUniform();
   /// One-way latency between the hosts of two instances.
   double Latency(std::size_t from, std::size_t to) const;
   /// Whether a fault of that kind holds an instance now.
@@ -150,16 +150,16 @@
 
  private:
   void StartWork(const WorkPointer& work);
-  void AfterOwnWork(const WorkPointer& work);
-  void NextCall(const WorkPointer& work);
-  void EndWork(const WorkPointer& work, bool is_whole);
+  void OnOwnWorkDone(const WorkPointer& work);
+  void MakeNextCall(const WorkPointer& work);
+  void FinishWork(const WorkPointer& work, bool is_completed);
   void FreeSlot(Instance& instance);
-  double WorkTime(const WorkPointer& work);
+  double DrawWorkTime(const WorkPointer& work);
   /// Whether the instance refuses the call that has just reached it.
-  bool IsShedding(std::size_t instance);
-  bool IsHeldBy(const FaultModel& fault, std::size_t instance) const;
+  bool DrawRefusal(std::size_t instance);
+  bool IsAffectedBy(const FaultModel& fault, std::size_t instance) const;
 };
 
 }  // namespace almondlink::model
 
-#endif  // ALMONDLINK_MODEL_SRC_WORLD_H_
+#endif  // ALMONDLINK_MODEL_SRC_SIMULATION_H_
--- a/libs/model/src/clockwork.h
+++ b/libs/model/src/virtual_clock.h
@@ -1,5 +1,5 @@
-#ifndef ALMONDLINK_MODEL_SRC_CLOCKWORK_H_
-#define ALMONDLINK_MODEL_SRC_CLOCKWORK_H_
+#ifndef ALMONDLINK_MODEL_SRC_VIRTUAL_CLOCK_H_
+#define ALMONDLINK_MODEL_SRC_VIRTUAL_CLOCK_H_
 
 #include <cstdint>
 #include <functional>
@@ -13,7 +13,7 @@
 
 /// Virtual time: events run in order of time, those of one time in the order
 /// they were added.
-class Clockwork {
+class VirtualClock {
  public:
   using Task = std::function<void()>;
 
@@ -25,7 +25,7 @@
   }
 
   /// Runs `task` after `delay` milliseconds.
-  void After(double delay, Task task) {
+  void Schedule(double delay, Task task) {
     this->events.push(Event{this->now + (delay > 0 ? delay : 0),
                             ++this->sequence, std::move(task)});
   }
@@ -59,4 +59,4 @@
 
 }  // namespace almondlink::model
 
-#endif  // ALMONDLINK_MODEL_SRC_CLOCKWORK_H_
+#endif  // ALMONDLINK_MODEL_SRC_VIRTUAL_CLOCK_H_
--- a/libs/model/tests/experiment_test.cc
+++ b/libs/model/tests/experiment_test.cc
@@ -21,19 +21,19 @@
       });
 }
 
-std::vector<Series> Run(const std::vector<Variant>& variants,
-                        std::uint64_t seeds,
-                        unsigned jobs) {
+std::vector<VariantOutcomes> Run(const std::vector<Variant>& variants,
+                                 std::uint64_t seeds,
+                                 unsigned jobs) {
   return HandleFailure(
       [&]() { return RunExperiment({Trace()}, variants, seeds, jobs); },
-      [](const Failure& failure) -> std::vector<Series> {
+      [](const Failure& failure) -> std::vector<VariantOutcomes> {
         FAIL(failure.detail);
         return {};
       });
 }
 
 /// What is said of text that is no list of variants; empty if it is one.
-std::string FaultOf(const std::string& text) {
+std::string ValidationError(const std::string& text) {
   return HandleFailure(
       [&]() -> Result<std::string> {
         BOOST_LEAF_AUTO(variants, ParseVariants(text));
@@ -47,58 +47,64 @@
 }
 
 TEST_CASE("variants are read, and refused with the reason") {
-  REQUIRE(FaultOf("by_cost=0,0.5,1").empty());
-  REQUIRE(FaultOf("no_fewer=off").empty());
-  REQUIRE(FaultOf("by_cost").find("SETTING=") != std::string::npos);
-  REQUIRE(FaultOf("by_cost=").find("SETTING=") != std::string::npos);
-  REQUIRE(FaultOf("=1").find("SETTING=") != std::string::npos);
-  REQUIRE(FaultOf("by_cost=2").find("not between") != std::string::npos);
-  REQUIRE(FaultOf("by_cost=nan").find("not between") != std::string::npos);
-  REQUIRE(FaultOf("by_cost=1,,0").find("not a number") != std::string::npos);
-  REQUIRE(FaultOf("by_cost=1x").find("not a number") != std::string::npos);
-  REQUIRE(FaultOf("no_such=1").find("planned_share") != std::string::npos);
+  REQUIRE(ValidationError("by_cost=0,0.5,1").empty());
+  REQUIRE(ValidationError("no_fewer=off").empty());
+  REQUIRE(ValidationError("by_cost").find("SETTING=") != std::string::npos);
+  REQUIRE(ValidationError("by_cost=").find("SETTING=") != std::string::npos);
+  REQUIRE(ValidationError("=1").find("SETTING=") != std::string::npos);
+  REQUIRE(ValidationError("by_cost=2").find("not between") !=
+          std::string::npos);
+  REQUIRE(ValidationError("by_cost=nan").find("not between") !=
+          std::string::npos);
+  REQUIRE(ValidationError("by_cost=1,,0").find("not a number") !=
+          std::string::npos);
+  REQUIRE(ValidationError("by_cost=1x").find("not a number") !=
+          std::string::npos);
+  REQUIRE(ValidationError("no_such=1").find("planned_share") !=
+          std::string::npos);
 }
 
 TEST_CASE("the result does not depend on how many play at a time") {
   const std::vector<Variant> variants = {{}, {"by_cost", "0"}};
-  const std::vector<Series> one = Run(variants, 2, 1);
-  const std::vector<Series> four = Run(variants, 2, 4);
+  const std::vector<VariantOutcomes> one = Run(variants, 2, 1);
+  const std::vector<VariantOutcomes> four = Run(variants, 2, 4);
   REQUIRE(one.size() == 2);
   REQUIRE(four.size() == 2);
   for (std::size_t i = 0; i < one.size(); ++i) {
-    REQUIRE(one[i].variant == i);
+    REQUIRE(one[i].variant_index == i);
     for (std::size_t seed = 0; seed < 2; ++seed) {
-      REQUIRE(one[i].outcomes[seed].weighted_whole ==
-              four[i].outcomes[seed].weighted_whole);
+      REQUIRE(one[i].outcomes[seed].weighted_completed ==
+              four[i].outcomes[seed].weighted_completed);
     }
   }
 }
 
 TEST_CASE("a setting's effect shows in pairs, and no change is none") {
-  const std::vector<Series> series =
+  const std::vector<VariantOutcomes> series =
       Run({{}, {"by_cost", "0"}, {"by_cost", "1"}}, 3, 4);
-  const Spread other =
-      SpreadOf(series[1], series[0], "weighted_share_in_cause", "");
-  REQUIRE(other.change != 0);
+  const FigureStatistics other =
+      ComputeStatistics(series[1], series[0], "weighted_share_in_cause", "");
+  REQUIRE(other.mean_change != 0);
   // The default's own value, said again.
-  const Spread same =
-      SpreadOf(series[2], series[0], "weighted_share_in_cause", "");
-  REQUIRE(same.change == 0);
+  const FigureStatistics same =
+      ComputeStatistics(series[2], series[0], "weighted_share_in_cause", "");
+  REQUIRE(same.mean_change == 0);
   REQUIRE(same.change_deviation == 0);
   REQUIRE(same.deviation > 0);
   REQUIRE(same.mean > 0.5);
 }
 
 TEST_CASE("shares over time are of what was asked then") {
-  const std::vector<Series> series = Run({{}}, 2, 2);
-  const std::vector<double> all = ShareOverTime(series[0], "");
-  const std::vector<double> critical = ShareOverTime(series[0], "critical");
+  const std::vector<VariantOutcomes> series = Run({{}}, 2, 2);
+  const std::vector<double> all = CompletedShareOverTime(series[0], "");
+  const std::vector<double> critical =
+      CompletedShareOverTime(series[0], "critical");
   REQUIRE(all.size() == critical.size());
   REQUIRE(all.front() > 0.8);
   for (const double share : critical) {
     REQUIRE(share <= 1);
   }
-  REQUIRE(ShareOverTime(series[0], "no-such-class").empty());
+  REQUIRE(CompletedShareOverTime(series[0], "no-such-class").empty());
 }
 
 }  // namespace
