--- a/bench/added_latency.cc
+++ b/bench/added_latency.cc
@@ -9,9 +9,9 @@
 
 #include "test/support/cluster.h"
 
-/// Latency that almondlink adds to a call: over two nodes (entry and target's),
-/// with many connections open on the caller port, against the same call made
-/// directly to the target in the same run.
+/// Measures the latency that almondlink adds to a call: calls through two nodes
+/// (the entry node and the target's node), with many open connections on the
+/// caller port, against the same calls sent directly to the target.
 
 DEFINE_int32(connections, 1300, "connections open on the caller port");
 DEFINE_int32(threads, 4, "callers at once");
@@ -25,7 +25,8 @@
 using almondlink::test::Cluster;
 using almondlink::test::Instance;
 
-/// Times calls over the connections in turn; returns milliseconds.
+/// Sends calls over the connections in turn; returns the sorted latencies of
+/// successful calls in milliseconds.
 std::vector<double> TimeCalls(std::vector<BlockingHttp>& clients,
                               const PlainRequest& request) {
   std::vector<double> times;
--- a/bench/frame_cost.cc
+++ b/bench/frame_cost.cc
@@ -6,8 +6,8 @@
 #include "almondlink/relay/peer_frames.h"
 #include "almondlink/wire/messages.generated.h"
 
-/// Cost of one call and its answer on a link, written and read: flat frames
-/// against the generated CBOR messages. Prints microseconds for each.
+/// Compares the time to encode and decode one call and its answer on a link:
+/// flat frames against the generated CBOR messages. Prints microseconds.
 namespace almondlink {
 namespace {
 
@@ -25,7 +25,7 @@
   }
   const std::chrono::duration<double, std::micro> took =
       std::chrono::steady_clock::now() - start;
-  // Printed so that no round can be left out.
+  // The output depends on every round, so that the compiler keeps them all.
   std::printf("  %zu bytes a round\n", bytes / kRounds);
   return took.count() / kRounds;
 }
--- a/bench/http_servers.cc
+++ b/bench/http_servers.cc
@@ -11,9 +11,9 @@
 #include "almondlink/server/caller_server.h"
 #include "standins/blocking_http.h"
 
-/// A keep-alive round trip against cxxtools' server and against Boost.Beast's,
-/// by the number of open connections, which are used in turn. It decided which
-/// library serves callers (docs/design/http-library.md).
+/// Compares keep-alive round trips to the servers of cxxtools and Boost.Beast
+/// by the number of open connections. Basis for the choice of the library that
+/// serves callers (docs/design/http-library.md).
 
 DEFINE_int32(calls, 3000, "calls per line");
 DEFINE_bool(in_turn, true, "use the open connections in turn, not only one");
--- a/bench/node_cost.cc
+++ b/bench/node_cost.cc
@@ -11,8 +11,8 @@
 #include "almondlink/control/claims.h"
 #include "test/support/cluster.h"
 
-/// What a node spends per call, per open caller connection and per operation of
-/// the bundle: the slopes of docs/CAPACITY.md.
+/// Measures the CPU time and memory of a node per call, per open caller
+/// connection and per operation of the bundle, for docs/CAPACITY.md.
 
 DEFINE_int32(calls, 30000, "calls measured");
 DEFINE_int32(threads, 8, "callers at once");
@@ -47,7 +47,7 @@
   return 0;
 }
 
-/// Sends calls of one kind from several threads.
+/// Sends at-most-once orders or repeatable reads from several threads.
 void SendCalls(Cluster& cluster, const Instance& entry, bool is_order) {
   std::vector<std::thread> threads;
   threads.reserve(static_cast<std::size_t>(FLAGS_threads));
@@ -105,7 +105,7 @@
   return 0;
 }
 
-/// Memory of the folds that grow with the deployment, in this process.
+/// Measures the memory of the claim state per idempotency key, in this process.
 void MeasureClaimMemory() {
   constexpr int kKeys = 200'000;
   const double before = OwnResidentKb();
--- a/bench/scale.cc
+++ b/bench/scale.cc
@@ -11,10 +11,10 @@
 
 #include "test/support/cluster.h"
 
-/// What nodes cost by their number: memory, processor time, bytes of gossip,
-/// requests to the log, and the time until a release is in force everywhere.
-/// Settings are those of a deployment (probe each second, poll each 4 s), not
-/// the short ones of tests.
+/// Measures the cost of nodes by their number: memory, CPU time, gossip
+/// traffic, requests to the log, and the time until a release is in force on
+/// all nodes. Uses the intervals of a deployment (probe every second, poll
+/// every 4 s), not the shorter ones of tests.
 
 DEFINE_string(nodes, "10 50 100", "numbers of nodes to measure");
 DEFINE_int32(seconds, 20, "length of each idle and each churn measurement");
@@ -25,7 +25,7 @@
 using almondlink::test::Instance;
 using almondlink::test::InstanceSpec;
 
-/// Resource use of one process.
+/// Resource usage of one process.
 struct ResourceUsage {
   double cpu_s = 0;
   double resident_mb = 0;
@@ -51,7 +51,7 @@
   return usage;
 }
 
-/// Sums over all nodes at one time.
+/// Sums over a set of nodes at one time.
 struct Snapshot {
   ResourceUsage usage;
   double gossip_bytes = 0;
@@ -128,8 +128,8 @@
   Pause(FLAGS_seconds);
   const Snapshot second = TakeSnapshot(cluster, nodes);
   Print("idle", count, first, second, FLAGS_seconds);
-  // Churn: a restart every two seconds among the second half of the nodes; the
-  // first half is measured.
+  // Churn: every two seconds a node of the second half restarts; the first half
+  // is measured.
   const std::vector<Instance*> kept(
       nodes.begin(), nodes.begin() + static_cast<std::ptrdiff_t>(count / 2));
   const Snapshot kept_before = TakeSnapshot(cluster, kept);
--- a/bench/target_answers.cc
+++ b/bench/target_answers.cc
@@ -16,15 +16,13 @@
 
 #include "almondlink/server/target_client.h"
 
-/// A target that answers each request twice: how many requests get another
-/// one's answer, and what a request costs, by how connections are kept
-/// (docs/design/target-answers.md). Client and target are threads of this
-/// process; processor time is that of the client's thread.
+/// Compares ways to reuse connections to a target that answers each request
+/// twice: how many requests receive the answer to another request, and the cost
+/// of a request (docs/design/target-answers.md). Client and target run as
+/// threads of this process; CPU time is that of the client's thread.
 
 DEFINE_int32(requests, 10000, "requests a line");
-DEFINE_int32(together,
-             32,
-             "requests under way at once where answers are late");
+DEFINE_int32(together, 32, "requests under way at once where answers are late");
 DEFINE_int32(rate, 2000, "requests a second where sockets are counted");
 
 namespace {
@@ -43,9 +41,10 @@
 constexpr int kNoSecondAnswer = -1;
 constexpr const char* kAttemptIdHeader = "Almondlink-Attempt-Id";
 
-/// How the target behaves.
 struct TargetBehaviour {
+  /// Delay of the second answer after the first, or kNoSecondAnswer.
   int second_answer_delay_ms = kNoSecondAnswer;
+  /// Whether answers carry the attempt id of the request.
   bool returns_id = true;
 };
 
@@ -148,6 +147,7 @@
 };
 
 struct LoadResult {
+  /// Requests that received the answer to another request.
   int foreign_answers = 0;
   int failed_requests = 0;
   std::vector<double> times_us;
@@ -165,8 +165,8 @@
   return micros(usage.ru_utime) + micros(usage.ru_stime);
 }
 
-/// `concurrency` requests under way until `count` are done; `gap`: pause
-/// before each start.
+/// Keeps up to `concurrency` requests in flight until `count` are done,
+/// starting one every `gap`, or as soon as an answer arrives if `gap` is 0.
 class Load {
  public:
   Load(bool needs_no_id, int count_in, std::chrono::microseconds gap_in)
@@ -251,6 +251,7 @@
   void SetActiveSenders(int concurrency) { this->active_senders = concurrency; }
 };
 
+/// Counts the sockets of kPort in state TIME_WAIT.
 int SocketsInTimeWait() {
   std::ifstream in("/proc/net/tcp");
   const std::string port = ":5A46";
@@ -263,6 +264,8 @@
   return count;
 }
 
+/// How connections are reused: without attempt ids if the client does not need
+/// them, by the id that the target returns, or not at all if it is missing.
 struct ConnectionMode {
   const char* name;
   bool returns_id;
@@ -289,7 +292,7 @@
   const ConnectionMode modes[] = {{"kept by order alone", false, true},
                                   {"kept by the id", true, false},
                                   {"one a request", false, false}};
-  // First: sockets in TIME_WAIT stay for a minute.
+  // Runs first because sockets stay in TIME_WAIT for a minute.
   for (const ConnectionMode& mode : modes) {
     const int seconds = 5;
     const std::chrono::microseconds gap(1'000'000 / FLAGS_rate);
--- a/libs/model/include/almondlink/model/outcome.h
+++ b/libs/model/include/almondlink/model/outcome.h
@@ -11,76 +11,85 @@
 
 namespace almondlink::model {
 
-/// What became of the requests of one class.
+/// Request counts of one criticality class. A completed request got a
+/// successful answer within its deadline.
 struct ClassOutcome {
   std::uint64_t requests = 0;
   std::uint64_t completed = 0;
-  /// Whole answers that arrived while the cause lasted, and what was asked
-  /// then.
+  /// The same for requests that arrived during the disturbance.
   std::uint64_t completed_in_disturbance = 0;
   std::uint64_t requests_in_disturbance = 0;
 };
 
-/// Requests by the time they were asked, per `kBucketMs`.
+/// Requests by arrival time, one value per `kBucketMs`.
 struct TimeSeries {
   std::vector<double> requests;
   std::vector<double> completed;
 };
 
-/// Figures of one replay.
+/// Results of one replay.
 struct Outcome {
   std::array<ClassOutcome, kCriticalityCount> classes;
-  /// Sum of weights of whole answers, and of what was asked.
+  /// Sum of the operation weights of completed requests and of all requests.
   double weighted_completed = 0;
   double weighted_requests = 0;
-  /// The same for requests asked while the cause lasted.
+  /// The same for requests that arrived during the disturbance.
   double weighted_completed_in_disturbance = 0;
   double weighted_requests_in_disturbance = 0;
-  /// Work that targets finished for nobody.
+  /// Successful runs whose root request was already over.
   std::uint64_t wasted_runs = 0;
+  /// All runs that targets started.
   std::uint64_t target_runs = 0;
-  /// Calls made per root request, over those that its chain has at least.
+  /// Calls made for a root request, as a multiple of the size of its call
+  /// chain; 1 means that no call was repeated.
   double attempts_max = 0;
   double attempts_mean = 0;
-  /// Retries spent by nodes on one root request beyond its grant; must be 0.
+  /// Tries of root requests in which nodes retried more often than the retry
+  /// grant of the operation allows; must be 0.
   std::uint64_t grant_exceeded = 0;
-  /// Refusals of a class while a lesser one would have been admitted there.
+  /// Refusals at a node that would still have admitted a less critical class.
   std::uint64_t order_violations = 0;
-  /// At-most-once operations that ran twice for one key; must be 0.
+  /// Idempotency keys for which an at-most-once operation ran more than once;
+  /// must be 0.
   std::uint64_t ran_twice = 0;
-  /// From the end of the cause until the share of requests that end whole, by
-  /// weight and by the time they were asked, is back at 95 % of before for
-  /// good; negative if it never is. A share, because random arrivals alone move
-  /// the sum by more than 5 %.
+  /// Time from the end of the disturbance until the weighted share of completed
+  /// requests, by arrival time, is back at 95 % of its earlier value and stays
+  /// there for two seconds; negative if that does not happen. A share is used
+  /// because random arrivals alone vary the sum by more than 5 %.
   double recovery_ms = 0;
-  /// Weight of whole answers by the time they arrived, of whole answers by the
-  /// time they were asked for, and of all that was asked; per `kBucketMs`.
+  /// Weights per `kBucketMs`: of completed requests by completion time, of
+  /// completed requests by arrival time, and of all requests by arrival time.
   std::vector<double> goodput;
   std::vector<double> completed_by_arrival;
   std::vector<double> requested;
-  /// Counts of each class.
+  /// Request counts over time of each criticality class.
   std::array<TimeSeries, kCriticalityCount> class_counts;
 };
 
+/// Width of one value of the time series.
 constexpr double kBucketMs = 250;
 
-/// One expectation that was not met.
+/// An expectation that the outcome did not meet, and the line of the trace file
+/// that states it.
 struct UnmetExpectation {
   int line = 0;
   std::string text;
 };
 
-/// Value of a figure by its name in traces; false if there is none.
+/// Sets `value` to the figure of that name in trace files, of one criticality
+/// class or (empty) of all. Returns false if no figure has that name. Only
+/// `whole_share` and `whole_share_in_cause` depend on the class.
 bool FindFigure(const Outcome& outcome,
                 const std::string& figure,
                 const std::string& criticality,
                 double& value);
 
-/// Compares an outcome with what the scenario states.
+/// Compares an outcome with the expectations of the scenario.
 std::vector<UnmetExpectation> FindUnmetExpectations(const Scenario& scenario,
                                                     const Outcome& outcome);
 
-/// Sets `recovery_ms` from the goodput buckets and the scenario's cause.
+/// Sets `recovery_ms` from the time series of weights and the end of the
+/// scenario's disturbance.
 void ComputeRecoveryTime(const Scenario& scenario, Outcome& outcome);
 
 }  // namespace almondlink::model
--- a/libs/model/include/almondlink/model/relay_rules.h
+++ b/libs/model/include/almondlink/model/relay_rules.h
@@ -10,21 +10,23 @@
 #include "almondlink/control/repeat_allowance.h"
 #include "almondlink/control/target_health.h"
 
-/// How the relay of a replay decides; the defaults are a node's. Thread safe.
+/// Settings of the decisions of a relay node in a replay.
 namespace almondlink::model {
 
+/// Rules that a relay node decides by; the defaults are those of a node.
 struct RelayRules {
   control::ChainRules admission;
   control::PlaceRules placement;
   control::HealthRules health;
   control::RepeatRules repeats;
-  /// Sends of one request; targets that refused it may be asked again.
+  /// Maximum number of sends of one call. Once it has been sent to the maximum
+  /// number of targets, those that refused it unrun may get it again.
   int max_sends = 12;
 };
 
-/// Changes one rule by the name that it has in a node's settings ([decisions]),
-/// with the setting's bounds; `on` and `off` are 1 and 0. Errors: kBadSettings,
-/// with the names that can be varied or the bounds.
+/// Sets one rule by its name in a node's settings ([decisions]) and checks the
+/// bounds of the setting; `on` and `off` stand for 1 and 0. Thread safe.
+/// Errors: kBadSettings, with the names that can be varied or the bounds.
 Result<void> SetRule(const std::string& setting,
                      const std::string& value,
                      RelayRules& rules);
--- a/libs/model/include/almondlink/model/replay.h
+++ b/libs/model/include/almondlink/model/replay.h
@@ -8,8 +8,9 @@
 
 namespace almondlink::model {
 
-/// Runs a scenario in virtual time. The same scenario and control give the same
-/// outcome on every run and machine. Thread safe.
+/// Runs a scenario in virtual time with that control in place; the scenario's
+/// own `control` is not used. The same scenario and control give the same
+/// outcome on every run and host. Thread safe.
 Outcome Replay(const Scenario& scenario, ControlKind control);
 
 }  // namespace almondlink::model
--- a/libs/model/src/almondlink_path.cc
+++ b/libs/model/src/almondlink_path.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Delays of the daemon's surroundings.
+/// Delays of the transport and the membership protocol in the daemon.
 constexpr double kConnectTimeoutMs = 1000;
 constexpr double kLinkSuspectMs = 400;
 constexpr double kLinkSilentMs = 1200;
@@ -108,7 +108,8 @@
   return true;
 }
 
-/// Gossip: lost instances are taken out of routing a few seconds later.
+/// Marks instances as suspect a few seconds after they are lost, the delay of
+/// failure detection by gossip.
 void AlmondlinkPath::UpdateMembership(std::size_t entry, std::size_t service) {
   std::vector<control::TargetView>& views = this->nodes[entry]->views[service];
   for (std::size_t i = 0; i < views.size(); ++i) {
@@ -172,7 +173,7 @@
   const double silent =
       this->simulation.FaultStart(FaultKind::kSilentLinks, target);
   if (silent >= 0 && node.replaced_ms[target] < silent) {
-    // The first call that gets no answer; from it the link's times count.
+    // The silence of the link is timed from the first call without an answer.
     double& first = node.silent_since_ms[target];
     first = std::max(first, silent);
     first = first == silent ? call->sent_ms : first;
@@ -187,7 +188,8 @@
     lose(kConnectTimeoutMs, ErrorKind::kPeerUnreachable);
     return;
   }
-  // An instance that is lost while it works is noticed by its silent link.
+  // An instance that is lost during the run sends no answer; the call then ends
+  // at its deadline.
   this->simulation.clock.Schedule(
       this->simulation.Latency(call->spec.entry, target),
       [this, call, attempt, target]() {
--- a/libs/model/src/almondlink_path.h
+++ b/libs/model/src/almondlink_path.h
@@ -14,8 +14,8 @@
 
 namespace almondlink::model {
 
-/// Calls as nodes make them: the daemon's sequence of decisions over the same
-/// functions of `control`, in virtual time and without bytes.
+/// Simulates calls through the daemon's own interface: the same functions of
+/// `control` in the daemon's order, in virtual time and without a transport.
 class AlmondlinkPath : public CallPath {
  public:
   explicit AlmondlinkPath(Simulation& simulation);
@@ -28,7 +28,7 @@
   struct Node;
   struct Handle;
 
-  /// What a target's node sends back.
+  /// Answer of a target's node.
   struct Answer {
     ErrorKind kind = ErrorKind::kNone;
     bool is_completed = false;
@@ -39,7 +39,7 @@
     std::uint32_t utilization = 0;
   };
 
-  // The entry node's side.
+  // Entry node.
   bool AdmitAtEntry(const OutgoingCallPointer& call);
   void Attempt(const OutgoingCallPointer& call);
   void SendTo(const OutgoingCallPointer& call, std::size_t view_index);
@@ -51,7 +51,7 @@
   void Finish(const OutgoingCallPointer& call, const CallResult& result);
   void UpdateMembership(std::size_t entry, std::size_t service);
 
-  // The target's node's side.
+  // Target's node.
   void OnArrival(const OutgoingCallPointer& call,
                  int attempt,
                  std::size_t target);
@@ -73,14 +73,14 @@
   std::uint64_t last_ticket = 0;
 };
 
-/// One call on its way, as entry_loop.cc has it.
+/// State of one call at its entry node.
 struct AlmondlinkPath::OutgoingCall {
   CallSpec spec;
   CallDone done;
   double deadline_ms = 0;
   control::ShedRank rank;
   control::RetryGrant grant;
-  /// The grant that the call uses: its own, or that of the work it belongs to.
+  /// Retry grant of the call: its own, or that of the work that makes it.
   control::RetryGrant& Grant() {
     return this->spec.parent == nullptr ? this->grant
                                         : this->spec.parent->grant;
@@ -89,7 +89,7 @@
   std::uint32_t attempts = 0;
   std::uint32_t retries = 0;
   bool is_over = false;
-  // The attempt that is out.
+  // The current attempt.
   int attempt = 0;
   std::size_t view_index = 0;
   std::size_t target = 0;
@@ -99,19 +99,20 @@
 };
 
 struct AlmondlinkPath::Node {
-  // As target's node.
+  // State as a target's node.
   control::AdmissionRules rules;
   control::Admission admission;
   std::map<control::Ticket, std::pair<OutgoingCallPointer, int>> calls;
   std::map<control::Ticket, std::pair<WorkPointer, double>> work;
   bool is_ticking = false;
-  // As entry node.
+  // State as an entry node.
   std::vector<std::vector<control::TargetView>> views;
   std::vector<control::DownstreamLevel> downstream;
   control::CallerRepeats repeats;
   std::unique_ptr<control::RetryBudget> budget;
   control::RetryBudgetLimits budget_limits;
-  /// Links that were found silent and replaced, by target.
+  /// By target: when its link was last replaced, and since when calls on it get
+  /// no answer; negative for never.
   std::vector<double> replaced_ms;
   std::vector<double> silent_since_ms;
 };
--- a/libs/model/src/almondlink_target.cc
+++ b/libs/model/src/almondlink_target.cc
@@ -3,12 +3,13 @@
 
 #include "almondlink_path.h"
 
-/// The target's node of a replay: claims, admission, work and answers.
+/// Target's node of AlmondlinkPath: claims of idempotency keys, admission, work
+/// and answers.
 namespace almondlink::model {
 
 namespace {
 
-/// Delays of the daemon's surroundings.
+/// Delays of the log, and the period of the admission's queue check.
 constexpr double kClaimLatencyMs = 8;
 constexpr double kLogTimeoutMs = 100;
 constexpr double kTickMs = 5;
@@ -99,7 +100,8 @@
   }
 }
 
-/// A refusal breaks the order when a whole lesser class would still be let in.
+/// Counts a refusal as an order violation if requests of a less critical class
+/// wait in the queue and the admission threshold still admits that class.
 void AlmondlinkPath::CountOrderViolation(std::size_t target,
                                          const OutgoingCallPointer& call) {
   const std::uint32_t next_class =
--- a/libs/model/src/baseline_path.cc
+++ b/libs/model/src/baseline_path.cc
@@ -9,10 +9,10 @@
 
 constexpr int kAttemptsPerHop = 3;
 constexpr double kBackoffMs = 50;
-/// Queue of the fixed limit, in multiples of the slots.
+/// Queue size of the fixed concurrency limit, in multiples of the slots.
 constexpr int kQueuePerSlot = 1;
 
-/// Giving a call up stops only the waiting for it.
+/// Cancelling stops only the wait for the result; the work continues.
 struct BaselineHandle : CallHandle {
   explicit BaselineHandle(std::shared_ptr<bool> is_over)
       : is_over(std::move(is_over)) {}
@@ -27,7 +27,7 @@
   CallDone done;
   std::shared_ptr<bool> is_over = std::make_shared<bool>(false);
   int attempts = 0;
-  /// The attempt that is waited for; earlier ones are ignored.
+  /// The attempt whose result is awaited; results of earlier ones are ignored.
   int awaited_attempt = 0;
 };
 
--- a/libs/model/src/baseline_path.h
+++ b/libs/model/src/baseline_path.h
@@ -7,9 +7,10 @@
 
 namespace almondlink::model {
 
-/// The baselines: each hop repeats failed calls by itself with its own timeout,
-/// deadlines and cancellation do not travel; with a fixed limit a target's node
-/// refuses what is above the slots and as many waiting.
+/// Baselines without the daemon's decisions: each hop retries failed calls with
+/// its own timeout, without propagating deadlines or cancellation. With a
+/// concurrency limit, a target's node refuses calls once its slots and a queue
+/// of the same size are full.
 class BaselinePath : public CallPath {
  public:
   BaselinePath(Simulation& simulation, bool has_concurrency_limit);
--- a/libs/model/src/outcome.cc
+++ b/libs/model/src/outcome.cc
@@ -7,14 +7,15 @@
 
 namespace {
 
-/// Buckets in one smoothed value, one second.
+/// Buckets averaged into one smoothed value, one second.
 constexpr std::size_t kSmoothingBuckets = 4;
-/// Buckets that must stay up for the return to count.
+/// Buckets for which the share must stay up to count as recovered.
 constexpr std::size_t kStableBuckets = 8;
+/// Share of the reference value that counts as recovered.
 constexpr double kRecoveredRatio = 0.95;
-/// Start of a replay that is left out of "before": queues fill.
+/// Start of a replay, left out of the reference value while queues fill.
 constexpr double kWarmUpMs = 2000;
-/// End of a replay that is left out.
+/// End of a replay, left out because late requests cannot complete in it.
 constexpr double kCoolDownMs = 6000;
 
 double Ratio(double part, double total) {
@@ -25,7 +26,7 @@
   return static_cast<std::size_t>(time_ms / kBucketMs);
 }
 
-/// Share of the weight asked in buckets [from, to) that ended whole.
+/// Weighted share of completed requests that arrived in buckets [from, to).
 double CompletedShare(const Outcome& outcome,
                       std::size_t from,
                       std::size_t to) {
@@ -57,7 +58,7 @@
   const double before = CompletedShare(outcome, BucketOf(kWarmUpMs),
                                        BucketOf(scenario.disturbance_from_ms));
   const std::size_t end = BucketOf(scenario.disturbance_to_ms);
-  // Requests asked at the very end cannot end within the replay.
+  // Requests that arrive at the end cannot complete within the replay.
   const std::size_t last =
       BucketOf(scenario.duration_ms - kCoolDownMs) - kSmoothingBuckets;
   for (std::size_t i = end; i + kStableBuckets <= last; ++i) {
--- a/libs/model/src/relay_path.cc
+++ b/libs/model/src/relay_path.cc
@@ -7,43 +7,46 @@
 
 namespace {
 
-/// Period of the daemon's round of states and of its admission.
+/// Period of the state exchange between nodes and of the admission update.
 constexpr double kTickMs = 100;
-/// Silence with calls out after which the daemon tries elsewhere.
+/// Silence of a link with open calls after which the daemon tries another
+/// target.
 constexpr double kLinkSuspectedMs = 700;
-/// A link that is found silent is replaced after so long.
+/// Time until a silent link is replaced.
 constexpr double kLinkReplacedMs = 2200;
-/// Instances that one request may be sent to; the users' usual figure.
+/// Maximum number of instances that one call is sent to, as in usual settings.
 constexpr std::size_t kMaxTargetsPerCall = 2;
-/// A root may wait this part of its time for a slot. The daemon takes a half of
-/// its latency target, which is a quarter to a third of the time.
+/// Share of its timeout that a root request may wait for a slot. The daemon
+/// uses half of the latency target, which is a quarter to a third of the
+/// timeout.
 constexpr double kMaxRootWaitShare = 0.15;
-/// Time left below which nothing is sent once more.
+/// Minimum time before the deadline for a repeat.
 constexpr double kMinTimeToRepeatMs = 30;
-/// What repeats may take: the users' ratio, with the fixed part of one service.
+/// Repeat allowance: the usual ratio setting, and the fixed part for one
+/// service.
 constexpr double kRepeatRatio = 0.2;
 constexpr double kRepeatFixed = 47;
 
-/// 0 means none.
+/// Key of a service for `control`, where 0 means none.
 std::uint32_t ServiceKey(std::size_t service) {
   return static_cast<std::uint32_t>(service) + 1;
 }
 
 }  // namespace
 
-/// One call on its way.
+/// State of one call.
 struct RelayPath::OutgoingCall {
   CallSpec spec;
   CallDone done;
   double deadline_ms = 0;
   double wait_until_ms = 0;
   std::vector<std::size_t> tried;
-  /// Those of them that refused it without running.
+  /// Those of `tried` that refused it without running it.
   std::vector<std::size_t> refused_by;
   int attempts = 0;
   bool may_have_run = false;
   bool is_over = false;
-  // The attempt that is out; earlier ones are ignored.
+  // The current attempt; results of earlier ones are ignored.
   int attempt = 0;
   std::size_t view_index = 0;
   std::size_t target = 0;
@@ -55,15 +58,15 @@
 };
 
 struct RelayPath::Node {
-  /// By priority, deeper calls first, then in order of arrival.
+  /// Criticality, then deeper calls first, then order of arrival.
   using QueueKey = std::tuple<int, int, std::uint64_t>;
-  // As the node beside a target.
+  // State as the node beside a target.
   std::map<QueueKey, OutgoingCallPointer> queue;
   std::uint32_t running = 0;
-  /// Counts the losses of its host: what ran before one never ends.
+  /// Grows when the host is lost; work of earlier incarnations never ends.
   std::uint32_t incarnation = 0;
   control::DemandMeter meter;
-  // As entry node: what is known of the targets of each service.
+  // State as an entry node: view of the targets of each service.
   std::vector<std::vector<control::PlaceView>> views;
 };
 
@@ -112,7 +115,7 @@
 }
 
 std::uint32_t RelayPath::RouteKey(const RootRequest& root) const {
-  // 0 means none.
+  // For `control`, 0 means none.
   return static_cast<std::uint32_t>(root.operation) + 1;
 }
 
@@ -381,7 +384,7 @@
   call->done(CallResult{false, ErrorKind::kTargetTimeout});
 }
 
-/// Ends a call; work that may run once is finished all the same.
+/// Ends a call. Work of at-most-once operations still runs to its end.
 void RelayPath::Cancel(const OutgoingCallPointer& call) {
   if (call->is_over) {
     return;
@@ -397,7 +400,7 @@
   }
 }
 
-/// What the nodes tell each other, and the shares worked out anew.
+/// Exchanges states between nodes and recomputes the admission shares.
 void RelayPath::Tick() {
   const Millis now = this->simulation.clock.NowMillis();
   std::vector<control::ServiceRoom> services(
@@ -414,7 +417,7 @@
       const bool is_lost =
           this->simulation.HasFault(FaultKind::kLost, targets[i]);
       if (is_lost) {
-        // Another process starts when the host is back.
+        // A new node process starts when the host is back.
         ++node.incarnation;
         node.running = 0;
         node.queue.clear();
--- a/libs/model/src/relay_path.h
+++ b/libs/model/src/relay_path.h
@@ -14,13 +14,14 @@
 
 namespace almondlink::model {
 
-/// Calls as relay nodes make them (libs/relay): roots are let in by the room of
-/// their whole chain, targets run no more than their slots, what is let in goes
-/// first, repeats are bounded for each service. The same functions of `control`
-/// in the daemon's order, without bytes.
+/// Simulates calls through relay nodes (libs/relay): root requests are admitted
+/// by the capacity of their whole call chain, targets run no more calls than
+/// they have slots, calls of admitted roots are queued by priority, and repeats
+/// are limited for each service. Uses the same functions of `control` in the
+/// daemon's order, without a transport.
 ///
-/// Simpler than the daemon: all nodes share one admission, and told loads are
-/// as old as the last answer or the last round of states.
+/// Simplified against the daemon: all nodes share one admission state, and
+/// reported loads date from the last answer or the last exchange of states.
 class RelayPath : public CallPath {
  public:
   explicit RelayPath(Simulation& simulation);
@@ -33,20 +34,20 @@
   struct Node;
   struct Handle;
 
-  /// How an attempt ended at the node beside the target.
+  /// Result of an attempt at the node beside the target.
   enum class AttemptResult {
     kCompleted,
-    /// The target ran it and failed.
+    /// The target ran it without success.
     kFailed,
-    /// The target said that it did not run it.
+    /// The target refused it without running it.
     kRefusedByTarget,
-    /// It waited too long for a slot.
+    /// It waited too long for a free slot.
     kNoSlot,
-    /// Nothing came back.
+    /// No answer arrived.
     kLost,
   };
 
-  // The entry node's side.
+  // Entry node.
   bool AdmitRoot(const OutgoingCallPointer& call);
   void Attempt(const OutgoingCallPointer& call);
   void OnAttemptResult(const OutgoingCallPointer& call,
@@ -57,7 +58,7 @@
   void Cancel(const OutgoingCallPointer& call);
   void TimeOut(const OutgoingCallPointer& call);
 
-  // The node beside the target.
+  // Node beside the target.
   void OnArrival(const OutgoingCallPointer& call, std::size_t target);
   void DispatchQueued(std::size_t target);
   void Dispatch(std::size_t target, const OutgoingCallPointer& call);
@@ -73,7 +74,7 @@
   Simulation& simulation;
   std::vector<std::unique_ptr<Node>> nodes;
   control::ChainAdmission admission;
-  /// Repeats of each service, of all nodes together.
+  /// Repeat allowance of each service, shared by all nodes.
   std::vector<control::RepeatAllowance> allowances;
   std::uint64_t arrivals = 0;
 };
--- a/libs/model/src/relay_rules.cc
+++ b/libs/model/src/relay_rules.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// One rule that can be varied, with the bounds of its setting.
+/// A rule that can be varied, with the inclusive bounds of its setting.
 struct Rule {
   const char* setting;
   double min;
--- a/libs/model/src/replay.cc
+++ b/libs/model/src/replay.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// The callers of a replay: they ask, repeat what failed, and give up.
+/// Callers of a replay: send requests, retry failures, and count the outcome.
 class Callers {
  public:
   explicit Callers(Simulation& simulation) : simulation(simulation) {}
@@ -94,14 +94,14 @@
                                             this->simulation.instances.size()));
   }
 
-  /// One try; the caller stays with its entry node.
+  /// Starts one try; a caller keeps its entry node across tries.
   void StartTry(const RootPointer& root, std::size_t entry) {
     const OperationInfo& info = this->simulation.operations[root->operation];
     ++root->tries;
     root->retries_in_try = 0;
     root->deadline_ms = this->simulation.clock.Now() +
                         static_cast<double>(info.spec->timeout.count);
-    // Entered at a living node: callers connect elsewhere when one is gone.
+    // Callers connect to another node when the host of theirs is lost.
     while (this->simulation.HasFault(FaultKind::kLost, entry)) {
       entry = (entry + 1) % this->simulation.instances.size();
     }
@@ -130,7 +130,7 @@
       this->CompleteRequest(*root);
       return;
     }
-    // An at-most-once request whose outcome is unknown is not sent anew.
+    // An at-most-once request with an unknown outcome is not retried.
     const bool may_repeat = info.spec->is_repeatable ||
                             AnswerFor(result.kind).verdict == Verdict::kNotRun;
     if (root->tries < this->simulation.scenario.callers.tries && may_repeat) {
@@ -172,7 +172,8 @@
     ++this->finished_requests;
     outcome.attempts_mean =
         this->attempts_sum / static_cast<double>(this->finished_requests);
-    // A key is one request here: what callers send again has the same key.
+    // All tries of a request carry the same idempotency key, so runs are
+    // counted for each request.
     outcome.ran_twice += root.at_most_once_runs > 1 ? 1 : 0;
   }
 
--- a/libs/model/src/scenario.cc
+++ b/libs/model/src/scenario.cc
@@ -64,8 +64,8 @@
 }
 
 void ReadCall(const Json& line, Scenario& scenario) {
-  // A node records the calls that services make, too; they follow from the
-  // chains here.
+  // Nodes also record the calls that services make; the replay derives those
+  // from the call chains.
   if (line.value("depth", 0) == 0) {
     scenario.recorded_calls.push_back(
         {line.at("at_ms").get<double>(),
@@ -108,7 +108,7 @@
   scenario.expectations.push_back(expectation);
 }
 
-/// Reads one line; false for a type that is not known.
+/// Reads one line; returns false for an unknown type.
 bool ReadLine(const Json& line, int number, Scenario& scenario) {
   using Reader = void (*)(const Json&, Scenario&);
   static const std::map<std::string, Reader> kReaders = {
@@ -133,7 +133,7 @@
   return true;
 }
 
-/// Why a scenario cannot be run, or nothing.
+/// Returns why a scenario cannot be run; empty if it can.
 std::string ValidationError(const Scenario& scenario) {
   std::set<std::string> services;
   for (const ServiceModel& service : scenario.services) {
--- a/libs/model/src/simulation.cc
+++ b/libs/model/src/simulation.cc
@@ -8,10 +8,11 @@
 
 namespace {
 
-/// Latency within an availability zone.
+/// One-way latency within an availability zone.
 constexpr double kSameZoneLatencyMs = 0.1;
-/// Work time: this share is fixed, the rest exponential.
+/// Share of the mean work time that is constant; the rest is exponential.
 constexpr double kFixedWorkShare = 0.5;
+/// Depth up to which the calls of a chain are counted.
 constexpr int kMaxChainDepth = 9;
 
 std::size_t ServiceIndex(const Scenario& scenario, const std::string& name) {
@@ -203,7 +204,7 @@
     return;
   }
   if (this->HasFault(FaultKind::kLost, work->instance)) {
-    // Gone with its instance; nobody is told.
+    // The work is lost with its instance; no result is reported.
     work->is_over = true;
     this->FreeSlot(this->instances[work->instance]);
     return;
--- a/libs/model/src/simulation.h
+++ b/libs/model/src/simulation.h
@@ -16,21 +16,23 @@
 #include "almondlink/model/scenario.h"
 #include "virtual_clock.h"
 
-/// What a replay consists of, whatever control stands in it.
+/// The parts of a replay that do not depend on the request control.
 namespace almondlink::model {
 
-/// An operation with its chain, found once.
+/// An operation with its call chain resolved to indices.
 struct OperationInfo {
   const policy::OperationSpec* spec = nullptr;
+  /// Index in Scenario::services.
   std::size_t service = 0;
+  /// Indices in Simulation::operations of the calls that it makes, in order.
   std::vector<std::size_t> calls;
   /// Mean time of its own work.
   double work_ms = 0;
-  /// Calls of the whole chain, this one included.
+  /// Number of calls in the whole chain, including this one.
   int chain_size = 1;
 };
 
-/// One request of a caller, over all its tries.
+/// One request of a caller, across all its tries.
 struct RootRequest {
   std::size_t operation = 0;
   RootId root_id;
@@ -40,27 +42,28 @@
   double deadline_ms = 0;
   int tries = 0;
   bool is_done = false;
-  /// Calls made, and retries that nodes spent in the current try.
+  /// Calls made for it, by callers, services and retrying nodes.
   std::uint64_t calls = 0;
-  /// Runs of the current try by service, from 1 on.
+  /// Runs of the current try by service key; keys start at 1.
   control::CallCounts runs_by_service;
+  /// Retries by nodes in the current try.
   std::uint32_t retries_in_try = 0;
-  /// How often an at-most-once operation ran for it.
+  /// Runs of at-most-once operations for it.
   int at_most_once_runs = 0;
 };
 using RootPointer = std::shared_ptr<RootRequest>;
 
-/// How a call ended.
+/// Result of a call.
 struct CallResult {
   bool is_completed = false;
   ErrorKind kind = ErrorKind::kNone;
-  /// Pressure level met, here or deeper.
+  /// Highest pressure level reported by the target or further downstream.
   std::uint32_t downstream_level = 0;
   Millis retry_after{-1};
 };
 using CallDone = std::function<void(const CallResult&)>;
 
-/// A call that can be given up; its `done` is not called afterwards.
+/// Cancels a call; its `done` is not called afterwards.
 class CallHandle {
  public:
   virtual ~CallHandle() = default;
@@ -68,7 +71,7 @@
 };
 using CallHandlePointer = std::shared_ptr<CallHandle>;
 
-/// Work of a target for one call.
+/// One call as a target runs it.
 struct Work {
   RootPointer root;
   std::size_t operation = 0;
@@ -77,31 +80,32 @@
   double deadline_ms = 0;
   control::RetryGrant grant;
   std::uint32_t downstream_level = 0;
-  /// A call that the work made failed.
+  /// One of the calls that it makes has failed.
   bool has_failed_call = false;
   bool is_running = false;
   bool is_over = false;
-  /// The target said that it did not run it.
+  /// The target refused it without running it.
   bool is_refused = false;
   std::size_t next_call = 0;
+  /// The call that it waits for, if any.
   CallHandlePointer open_call;
   std::function<void(bool is_completed)> done;
 };
 using WorkPointer = std::shared_ptr<Work>;
 
-/// A call to be made.
+/// Parameters of a call.
 struct CallSpec {
   RootPointer root;
   std::size_t operation = 0;
-  /// Instance whose node it enters at.
+  /// Instance whose node receives the call from the caller or service.
   std::size_t entry = 0;
   int depth = 0;
   double deadline_ms = 0;
-  /// Work that makes the call; null for a caller's.
+  /// Work that makes the call; null for a root request.
   WorkPointer parent;
 };
 
-/// One target with its own queue.
+/// One target: an instance of a service with its slots and its queue.
 struct Instance {
   std::size_t service = 0;
   std::size_t index = 0;
@@ -110,14 +114,14 @@
   std::deque<WorkPointer> queue;
 };
 
-/// How calls get from callers and services to targets.
+/// Sends calls from callers and services to targets under some request control.
 class CallPath {
  public:
   virtual ~CallPath() = default;
   virtual CallHandlePointer Call(const CallSpec& spec, CallDone done) = 0;
 };
 
-/// Scenario, time, randomness, targets and figures.
+/// State of one replay: clock, random numbers, targets and outcome.
 class Simulation {
  public:
   explicit Simulation(const Scenario& scenario);
@@ -127,25 +131,25 @@
   std::mt19937_64 random;
   std::vector<OperationInfo> operations;
   std::vector<Instance> instances;
-  /// Instances by service.
+  /// Indices in `instances` by service.
   std::vector<std::vector<std::size_t>> instances_by_service;
   Outcome outcome;
   CallPath* path = nullptr;
 
-  /// Uniform in [0, 1).
+  /// Returns a random number, uniform in [0, 1).
   double DrawUniform();
   /// One-way latency between the hosts of two instances.
   double Latency(std::size_t from, std::size_t to) const;
-  /// Whether a fault of that kind holds an instance now.
+  /// Whether a fault of that kind currently affects an instance.
   bool HasFault(FaultKind kind, std::size_t instance) const;
-  /// When the fault began; negative if there is none now.
+  /// Start of the fault that currently affects an instance; negative if none.
   double FaultStart(FaultKind kind, std::size_t instance) const;
   bool IsLogDown() const;
 
-  /// Puts work into a target. `done` is called at its end unless the work is
+  /// Hands work to its target. `done` is called when it ends, unless it is
   /// cancelled or its instance is lost.
   void Submit(const WorkPointer& work);
-  /// Cancels work, waiting or running, and its calls.
+  /// Cancels queued or running work and its open call.
   void CancelWork(const WorkPointer& work);
 
  private:
@@ -155,7 +159,7 @@
   void FinishWork(const WorkPointer& work, bool is_completed);
   void FreeSlot(Instance& instance);
   double DrawWorkTime(const WorkPointer& work);
-  /// Whether the instance refuses the call that has just reached it.
+  /// Draws whether an instance that sheds load refuses an arriving call.
   bool DrawRefusal(std::size_t instance);
   bool IsAffectedBy(const FaultModel& fault, std::size_t instance) const;
 };
--- a/libs/model/src/virtual_clock.h
+++ b/libs/model/src/virtual_clock.h
@@ -11,29 +11,30 @@
 
 namespace almondlink::model {
 
-/// Virtual time: events run in order of time, those of one time in the order
-/// they were added.
+/// Event queue in virtual time. Tasks run in order of time; tasks of the same
+/// time run in the order in which they were scheduled.
 class VirtualClock {
  public:
   using Task = std::function<void()>;
 
-  /// Now, in milliseconds with fractions.
+  /// Virtual time in milliseconds since the start, with fractions.
   double Now() const { return this->now; }
-  /// Now, as the decisions take it.
+  /// Virtual time in whole milliseconds, as the functions of `control` take it.
   Millis NowMillis() const {
     return Millis{static_cast<std::int64_t>(this->now)};
   }
 
-  /// Runs `task` after `delay` milliseconds.
+  /// Schedules `task` to run after `delay` milliseconds; a negative delay is 0.
   void Schedule(double delay, Task task) {
     this->events.push(Event{this->now + (delay > 0 ? delay : 0),
                             ++this->sequence, std::move(task)});
   }
 
-  /// Runs events up to `until`.
+  /// Runs all tasks due up to `until`, and sets the time to it.
   void RunUntil(double until) {
     while (!this->events.empty() && this->events.top().time <= until) {
-      // The queue hands out const references only; the event is removed next.
+      // top() returns a const reference; the move is safe because the event is
+      // removed at once.
       Event event = std::move(const_cast<Event&>(this->events.top()));
       this->events.pop();
       this->now = event.time;
--- a/libs/model/tests/experiment_test.cc
+++ b/libs/model/tests/experiment_test.cc
@@ -4,7 +4,7 @@
 
 #include "almondlink/config/ini_reader.h"
 
-/// Variants of settings on one trace with the same seeds.
+/// Variants of settings on one scenario with the same seeds.
 namespace almondlink::model {
 namespace {
 
@@ -32,7 +32,7 @@
       });
 }
 
-/// What is said of text that is no list of variants; empty if it is one.
+/// Returns the error for a list of variants; empty if it is valid.
 std::string ValidationError(const std::string& text) {
   return HandleFailure(
       [&]() -> Result<std::string> {
@@ -85,7 +85,7 @@
   const FigureStatistics other =
       ComputeStatistics(series[1], series[0], "weighted_share_in_cause", "");
   REQUIRE(other.mean_change != 0);
-  // The default's own value, said again.
+  // The value of the default, set explicitly.
   const FigureStatistics same =
       ComputeStatistics(series[2], series[0], "weighted_share_in_cause", "");
   REQUIRE(same.mean_change == 0);
