--- a/bench/added_latency.cc
+++ b/bench/added_latency.cc
@@ -14,9 +14,11 @@
 /// caller port, against the same calls sent directly to the target.
 
 DEFINE_int32(connections, 1300, "connections open on the caller port");
-DEFINE_int32(threads, 4, "callers at once");
-DEFINE_int32(calls, 20000, "calls of each way");
-DEFINE_int32(pause_us, 500, "pause of a caller between two calls");
+DEFINE_int32(threads, 4, "concurrent callers");
+DEFINE_int32(calls, 20000, "calls per measurement");
+DEFINE_int32(pause_us,
+             500,
+             "pause of a caller between two calls, in microseconds");
 
 namespace {
 
--- a/bench/frame_cost.cc
+++ b/bench/frame_cost.cc
@@ -26,7 +26,7 @@
   const std::chrono::duration<double, std::micro> took =
       std::chrono::steady_clock::now() - start;
   // The output depends on every round, so that the compiler keeps them all.
-  std::printf("  %zu bytes a round\n", bytes / kRounds);
+  std::printf("  %zu bytes per round\n", bytes / kRounds);
   return took.count() / kRounds;
 }
 
@@ -94,7 +94,8 @@
 int main() {
   const double flat = almondlink::MeanMicros(almondlink::FlatRound);
   const double cbor = almondlink::MeanMicros(almondlink::CborRound);
-  std::printf("flat %.2f us, CBOR trees %.2f us for a call and its answer\n",
-              flat, cbor);
+  std::printf(
+      "flat frames %.2f us, CBOR messages %.2f us per call and answer\n", flat,
+      cbor);
   return 0;
 }
--- a/bench/http_servers.cc
+++ b/bench/http_servers.cc
@@ -15,7 +15,7 @@
 /// by the number of open connections. Basis for the choice of the library that
 /// serves callers (docs/design/http-library.md).
 
-DEFINE_int32(calls, 3000, "calls per line");
+DEFINE_int32(calls, 3000, "calls per result line");
 DEFINE_bool(in_turn, true, "use the open connections in turn, not only one");
 
 namespace {
--- a/bench/node_cost.cc
+++ b/bench/node_cost.cc
@@ -14,9 +14,9 @@
 /// Measures the CPU time and memory of a node per call, per open caller
 /// connection and per operation of the bundle, for docs/CAPACITY.md.
 
-DEFINE_int32(calls, 30000, "calls measured");
-DEFINE_int32(threads, 8, "callers at once");
-DEFINE_int32(connections, 1300, "connections opened for their memory");
+DEFINE_int32(calls, 30000, "calls per measurement");
+DEFINE_int32(threads, 8, "concurrent callers");
+DEFINE_int32(connections, 1300, "connections to open to measure their memory");
 DEFINE_int32(operations, 400, "operations of the large bundle");
 
 namespace {
@@ -119,7 +119,7 @@
                                      almondlink::Millis{i}, claims);
     claims.records.erase(batch.record_id);
   }
-  std::printf("per key of the claim fold: %.3f kB\n",
+  std::printf("per idempotency key of the claim state: %.3f kB\n",
               (OwnResidentKb() - before) / kKeys);
 }
 
@@ -152,7 +152,7 @@
   MeasureCalls(cluster, entry, shop, false);
   MeasureCalls(cluster, entry, shop, true);
   const double warm = ResidentKb(entry);
-  std::printf("memory: started %.1f MB, after the calls %.1f MB\n",
+  std::printf("memory: %.1f MB after the start, %.1f MB after the calls\n",
               started / 1024, warm / 1024);
   {
     std::vector<BlockingHttp> open;
--- a/bench/scale.cc
+++ b/bench/scale.cc
@@ -17,7 +17,9 @@
 /// every 4 s), not the shorter ones of tests.
 
 DEFINE_string(nodes, "10 50 100", "numbers of nodes to measure");
-DEFINE_int32(seconds, 20, "length of each idle and each churn measurement");
+DEFINE_int32(seconds,
+             20,
+             "length of each idle and churn measurement in seconds");
 
 namespace {
 
--- a/bench/target_answers.cc
+++ b/bench/target_answers.cc
@@ -21,9 +21,9 @@
 /// of a request (docs/design/target-answers.md). Client and target run as
 /// threads of this process; CPU time is that of the client's thread.
 
-DEFINE_int32(requests, 10000, "requests a line");
-DEFINE_int32(together, 32, "requests under way at once where answers are late");
-DEFINE_int32(rate, 2000, "requests a second where sockets are counted");
+DEFINE_int32(requests, 10000, "requests per result line");
+DEFINE_int32(together, 32, "concurrent requests with late answers");
+DEFINE_int32(rate, 2000, "requests per second while sockets are counted");
 
 namespace {
 
@@ -289,9 +289,9 @@
 
 int main(int argc, char** argv) {
   gflags::ParseCommandLineFlags(&argc, &argv, true);
-  const ConnectionMode modes[] = {{"kept by order alone", false, true},
-                                  {"kept by the id", true, false},
-                                  {"one a request", false, false}};
+  const ConnectionMode modes[] = {{"reused by order", false, true},
+                                  {"reused by id", true, false},
+                                  {"one per request", false, false}};
   // Runs first because sockets stay in TIME_WAIT for a minute.
   for (const ConnectionMode& mode : modes) {
     const int seconds = 5;
@@ -300,7 +300,7 @@
     const LoadResult paced =
         Measure(mode, kNoSecondAnswer, FLAGS_rate * seconds, 1, gap);
     std::printf(
-        "%-20s %d a second for %d s: %d sockets in TIME_WAIT more, %d "
+        "%-20s %d requests/s for %d s: %d more sockets in TIME_WAIT, %d "
         "failed\n",
         mode.name, FLAGS_rate, seconds, SocketsInTimeWait() - before,
         paced.failed_requests);
@@ -310,7 +310,7 @@
       const LoadResult result =
           Measure(mode, pause, FLAGS_requests, FLAGS_together, {});
       std::printf(
-          "%-20s second answer after %3d ms: %5d foreign, %4d failed, "
+          "%-20s second answer after %3d ms: %5d wrong answers, %4d failed, "
           "%llu connections\n",
           mode.name, pause, result.foreign_answers, result.failed_requests,
           static_cast<unsigned long long>(result.connects));
@@ -322,7 +322,7 @@
     const auto count = static_cast<double>(one.times_us.size());
     std::printf(
         "%-20s one answer: p50 %.0f us, p99 %.0f us, %.1f us of "
-        "processor time a request\n",
+        "CPU time per request\n",
         mode.name, one.times_us[one.times_us.size() / 2],
         one.times_us[one.times_us.size() * 99 / 100], one.cpu_us / count);
   }
--- a/libs/model/src/experiment.cc
+++ b/libs/model/src/experiment.cc
@@ -56,7 +56,7 @@
   const std::size_t equals = text.find('=');
   if (equals == std::string::npos || equals == 0 || equals + 1 == text.size()) {
     return Fail(ErrorKind::kBadSettings,
-                "'" + text + "' is not SETTING=VALUE,...");
+                "expected SETTING=VALUE,..., got '" + text + "'");
   }
   const std::string setting = text.substr(0, equals);
   std::vector<Variant> variants;
--- a/libs/model/src/outcome.cc
+++ b/libs/model/src/outcome.cc
@@ -129,7 +129,7 @@
       text << " of " << expected.criticality;
     }
     if (!FindFigure(outcome, expected.figure, expected.criticality, value)) {
-      unmet.push_back({expected.line, text.str() + ": no such figure"});
+      unmet.push_back({expected.line, text.str() + ": unknown figure"});
       continue;
     }
     const bool is_low = expected.has_min && value < expected.min_value;
--- a/libs/model/src/relay_rules.cc
+++ b/libs/model/src/relay_rules.cc
@@ -66,7 +66,7 @@
       [&setting](const Rule& rule) { return setting == rule.setting; });
   if (found == std::end(kRules)) {
     return Fail(ErrorKind::kBadSettings,
-                "cannot vary '" + setting + "', only " + SettingNames());
+                "cannot vary '" + setting + "'; allowed: " + SettingNames());
   }
   char* end = nullptr;
   double number = std::strtod(value.c_str(), &end);
--- a/libs/model/src/scenario.cc
+++ b/libs/model/src/scenario.cc
@@ -140,12 +140,13 @@
     const bool is_valid =
         service.instances > 0 && service.slots > 0 && service.work_ms > 0;
     if (!is_valid) {
-      return "service " + service.name + " needs instances, slots and work";
+      return "service " + service.name +
+             ": instances, slots and work_ms must be above 0";
     }
     services.insert(service.name);
   }
   if (scenario.zones.empty()) {
-    return "there is no deployment line with zones";
+    return "missing deployment line with zones";
   }
   std::vector<std::string> named;
   for (const ArrivalModel& arrival : scenario.arrivals) {
@@ -165,7 +166,7 @@
       return "the bundle has no operation " + name;
     }
     if (services.count(operation->service.Value()) == 0) {
-      return "there is no line for service " + operation->service.Value();
+      return "missing line for service " + operation->service.Value();
     }
   }
   return "";
--- a/libs/model/tests/experiment_test.cc
+++ b/libs/model/tests/experiment_test.cc
@@ -46,7 +46,7 @@
       [](const Failure& failure) { return failure.detail; });
 }
 
-TEST_CASE("variants are read, and refused with the reason") {
+TEST_CASE("variants are parsed, invalid ones are refused with the reason") {
   REQUIRE(ValidationError("by_cost=0,0.5,1").empty());
   REQUIRE(ValidationError("no_fewer=off").empty());
   REQUIRE(ValidationError("by_cost").find("SETTING=") != std::string::npos);
@@ -64,7 +64,7 @@
           std::string::npos);
 }
 
-TEST_CASE("the result does not depend on how many play at a time") {
+TEST_CASE("the result does not depend on the number of jobs") {
   const std::vector<Variant> variants = {{}, {"by_cost", "0"}};
   const std::vector<VariantOutcomes> one = Run(variants, 2, 1);
   const std::vector<VariantOutcomes> four = Run(variants, 2, 4);
@@ -79,7 +79,8 @@
   }
 }
 
-TEST_CASE("a setting's effect shows in pairs, and no change is none") {
+TEST_CASE(
+    "paired statistics show the effect of a setting, and 0 for the default") {
   const std::vector<VariantOutcomes> series =
       Run({{}, {"by_cost", "0"}, {"by_cost", "1"}}, 3, 4);
   const FigureStatistics other =
@@ -94,7 +95,7 @@
   REQUIRE(same.mean > 0.5);
 }
 
-TEST_CASE("shares over time are of what was asked then") {
+TEST_CASE("shares over time refer to the requests that arrived then") {
   const std::vector<VariantOutcomes> series = Run({{}}, 2, 2);
   const std::vector<double> all = CompletedShareOverTime(series[0], "");
   const std::vector<double> critical =
