--- a/bench/added_latency.cc
+++ b/bench/added_latency.cc
@@ -9,14 +9,16 @@
 
 #include "test/support/cluster.h"
 
-/// Latency that almondlink adds to a call: over two nodes (entry and target's),
-/// with many connections open on the caller port, against the same call made
-/// directly to the target in the same run.
+/// Measures the latency that almondlink adds to a call: calls through two nodes
+/// (the entry node and the target's node), with many open connections on the
+/// caller port, against the same calls sent directly to the target.
 
 DEFINE_int32(connections, 1300, "connections open on the caller port");
-DEFINE_int32(threads, 4, "callers at once");
-DEFINE_int32(calls, 20000, "calls of each way");
-DEFINE_int32(pause_us, 500, "pause of a caller between two calls");
+DEFINE_int32(threads, 4, "concurrent callers");
+DEFINE_int32(calls, 20000, "calls per measurement");
+DEFINE_int32(pause_us,
+             500,
+             "pause of a caller between two calls, in microseconds");
 
 namespace {
 
@@ -25,7 +27,8 @@
 using almondlink::test::Cluster;
 using almondlink::test::Instance;
 
-/// Times calls over the connections in turn; returns milliseconds.
+/// Sends calls over the connections in turn; returns the sorted latencies of
+/// successful calls in milliseconds.
 std::vector<double> TimeCalls(std::vector<BlockingHttp>& clients,
                               const PlainRequest& request) {
   std::vector<double> times;
@@ -59,7 +62,7 @@
   return times;
 }
 
-double At(const std::vector<double>& sorted, double share) {
+double Percentile(const std::vector<double>& sorted, double share) {
   return sorted.empty() ? 0
                         : sorted[std::min(
                               sorted.size() - 1,
@@ -70,7 +73,8 @@
 void Print(const char* name, const std::vector<double>& times) {
   std::printf(
       "%-10s %7zu answered   p50 %.3f ms   p99 %.3f ms   p99.9 %.3f ms\n", name,
-      times.size(), At(times, 0.5), At(times, 0.99), At(times, 0.999));
+      times.size(), Percentile(times, 0.5), Percentile(times, 0.99),
+      Percentile(times, 0.999));
 }
 
 }  // namespace
@@ -109,8 +113,8 @@
     Print("direct", straight);
     Print("two nodes", two_nodes);
     std::printf("added      p50 %.3f ms   p99 %.3f ms\n",
-                At(two_nodes, 0.5) - At(straight, 0.5),
-                At(two_nodes, 0.99) - At(straight, 0.99));
+                Percentile(two_nodes, 0.5) - Percentile(straight, 0.5),
+                Percentile(two_nodes, 0.99) - Percentile(straight, 0.99));
   }
   return 0;
 }
--- a/bench/frame_cost.cc
+++ b/bench/frame_cost.cc
@@ -6,8 +6,8 @@
 #include "almondlink/relay/peer_frames.h"
 #include "almondlink/wire/messages.generated.h"
 
-/// Cost of one call and its answer on a link, written and read: flat frames
-/// against the generated CBOR messages. Prints microseconds for each.
+/// Compares the time to encode and decode one call and its answer on a link:
+/// flat frames against the generated CBOR messages. Prints microseconds.
 namespace almondlink {
 namespace {
 
@@ -17,7 +17,7 @@
     "User-Agent: client/1.0\r\n";
 const std::string kBody(1500, 'b');
 
-double MicrosEach(const std::function<std::size_t()>& round) {
+double MeanMicros(const std::function<std::size_t()>& round) {
   std::size_t bytes = 0;
   const auto start = std::chrono::steady_clock::now();
   for (int i = 0; i < kRounds; ++i) {
@@ -25,8 +25,8 @@
   }
   const std::chrono::duration<double, std::micro> took =
       std::chrono::steady_clock::now() - start;
-  // Printed so that no round can be left out.
-  std::printf("  %zu bytes a round\n", bytes / kRounds);
+  // The output depends on every round, so that the compiler keeps them all.
+  std::printf("  %zu bytes per round\n", bytes / kRounds);
   return took.count() / kRounds;
 }
 
@@ -92,9 +92,10 @@
 }  // namespace almondlink
 
 int main() {
-  const double flat = almondlink::MicrosEach(almondlink::FlatRound);
-  const double cbor = almondlink::MicrosEach(almondlink::CborRound);
-  std::printf("flat %.2f us, CBOR trees %.2f us for a call and its answer\n",
-              flat, cbor);
+  const double flat = almondlink::MeanMicros(almondlink::FlatRound);
+  const double cbor = almondlink::MeanMicros(almondlink::CborRound);
+  std::printf(
+      "flat frames %.2f us, CBOR messages %.2f us per call and answer\n", flat,
+      cbor);
   return 0;
 }
--- a/bench/node_cost.cc
+++ b/bench/node_cost.cc
@@ -11,12 +11,12 @@
 #include "almondlink/control/claims.h"
 #include "test/support/cluster.h"
 
-/// What a node spends per call, per open caller connection and per operation of
-/// the bundle: the slopes of docs/CAPACITY.md.
+/// Measures the CPU time and memory of a node per call, per open caller
+/// connection and per operation of the bundle, for docs/CAPACITY.md.
 
-DEFINE_int32(calls, 30000, "calls measured");
-DEFINE_int32(threads, 8, "callers at once");
-DEFINE_int32(connections, 1300, "connections opened for their memory");
+DEFINE_int32(calls, 30000, "calls per measurement");
+DEFINE_int32(threads, 8, "concurrent callers");
+DEFINE_int32(connections, 1300, "connections to open to measure their memory");
 DEFINE_int32(operations, 400, "operations of the large bundle");
 
 namespace {
@@ -47,7 +47,7 @@
   return 0;
 }
 
-/// Sends calls of one kind from several threads.
+/// Sends at-most-once orders or repeatable reads from several threads.
 void SendCalls(Cluster& cluster, const Instance& entry, bool is_order) {
   std::vector<std::thread> threads;
   threads.reserve(static_cast<std::size_t>(FLAGS_threads));
@@ -105,8 +105,8 @@
   return 0;
 }
 
-/// Memory of the folds that grow with the deployment, in this process.
-void MeasureFolds() {
+/// Measures the memory of the claim state per idempotency key, in this process.
+void MeasureClaimMemory() {
   constexpr int kKeys = 200'000;
   const double before = OwnResidentKb();
   almondlink::control::Claims claims;
@@ -119,7 +119,7 @@
                                      almondlink::Millis{i}, claims);
     claims.record_ids.erase(batch.record_id);
   }
-  std::printf("per key of the claim fold: %.3f kB\n",
+  std::printf("per idempotency key of the claim state: %.3f kB\n",
               (OwnResidentKb() - before) / kKeys);
 }
 
@@ -139,7 +139,7 @@
 
 int main(int argc, char** argv) {
   gflags::ParseCommandLineFlags(&argc, &argv, true);
-  MeasureFolds();
+  MeasureClaimMemory();
   Cluster cluster(23700, "bench-node-cost");
   cluster.StartLog();
   const Instance& shop =
@@ -152,7 +152,7 @@
   MeasureCalls(cluster, entry, shop, false);
   MeasureCalls(cluster, entry, shop, true);
   const double warm = ResidentKb(entry);
-  std::printf("memory: started %.1f MB, after the calls %.1f MB\n",
+  std::printf("memory: %.1f MB after the start, %.1f MB after the calls\n",
               started / 1024, warm / 1024);
   {
     std::vector<BlockingHttp> open;
--- a/libs/model/src/relay_path.h
+++ b/libs/model/src/relay_path.h
@@ -10,66 +10,71 @@
 #include "almondlink/control/chain_admission.h"
 #include "almondlink/control/placement.h"
 #include "almondlink/control/repeat_allowance.h"
-#include "world.h"
+#include "simulation.h"
 
 namespace almondlink::model {
 
-/// Calls as relay nodes make them (libs/relay): roots are let in by the room of
-/// their whole chain, targets run no more than their slots, what is let in goes
-/// first, repeats are bounded for each service. The same functions of `control`
-/// in the daemon's order, without bytes.
+/// Simulates calls through relay nodes (libs/relay): root requests are admitted
+/// by the capacity of their whole call chain, targets run no more calls than
+/// they have slots, calls of admitted roots are queued by priority, and repeats
+/// are limited for each service. Uses the same functions of `control` in the
+/// daemon's order, without a transport.
 ///
-/// Simpler than the daemon: all nodes share one admission, and told loads are
-/// as old as the last answer or the last round of states.
+/// Simplified against the daemon: all nodes share one admission state, and
+/// reported loads date from the last answer or the last exchange of states.
 class RelayPath : public CallPath {
  public:
-  explicit RelayPath(World& world);
+  explicit RelayPath(Simulation& simulation);
   ~RelayPath() override;
   CallHandlePointer Call(const CallSpec& spec, CallDone done) override;
 
  private:
-  struct OutCall;
-  using OutCallPointer = std::shared_ptr<OutCall>;
+  struct OutgoingCall;
+  using OutgoingCallPointer = std::shared_ptr<OutgoingCall>;
   struct Node;
   struct Handle;
 
-  /// How an attempt ended at the node beside the target.
-  enum class AttemptEnd {
-    kWhole,
-    /// The target ran it and failed.
+  /// Result of an attempt at the node beside the target.
+  enum class AttemptResult {
+    kCompleted,
+    /// The target ran it without success.
     kFailed,
-    /// The target said that it did not run it.
+    /// The target refused it without running it.
     kRefusedByTarget,
-    /// It waited too long for a slot.
+    /// It waited too long for a free slot.
     kNoSlot,
-    /// Nothing came back.
+    /// No answer arrived.
     kLost,
   };
 
-  // The entry node's side.
-  bool AdmitRoot(const OutCallPointer& call);
-  void Attempt(const OutCallPointer& call);
-  void OnEnd(const OutCallPointer& call, int attempt, AttemptEnd end);
-  bool MayRepeat(const OutCallPointer& call);
-  void Finish(const OutCallPointer& call, const CallResult& result);
-  void Cancel(const OutCallPointer& call);
-  void TimeOut(const OutCallPointer& call);
+  // Entry node.
+  bool AdmitRoot(const OutgoingCallPointer& call);
+  void Attempt(const OutgoingCallPointer& call);
+  void OnAttemptResult(const OutgoingCallPointer& call,
+                       int attempt,
+                       AttemptResult result);
+  bool ConsumeRepeat(const OutgoingCallPointer& call);
+  void Finish(const OutgoingCallPointer& call, const CallResult& result);
+  void Cancel(const OutgoingCallPointer& call);
+  void TimeOut(const OutgoingCallPointer& call);
 
-  // The node beside the target.
-  void Arrive(const OutCallPointer& call, std::size_t target);
-  void Fill(std::size_t target);
-  void Dispatch(std::size_t target, const OutCallPointer& call);
-  void Reply(const OutCallPointer& call, int attempt, AttemptEnd end);
+  // Node beside the target.
+  void OnArrival(const OutgoingCallPointer& call, std::size_t target);
+  void DispatchQueued(std::size_t target);
+  void Dispatch(std::size_t target, const OutgoingCallPointer& call);
+  void Reply(const OutgoingCallPointer& call,
+             int attempt,
+             AttemptResult result);
 
   void Tick();
-  std::uint32_t RouteOf(const RootRequest& root) const;
-  control::RepeatRules Repeats() const;
+  std::uint32_t RouteKey(const RootRequest& root) const;
+  control::RepeatRules EffectiveRepeatRules() const;
   std::uint32_t SlotsOf(std::size_t target) const;
 
-  World& world;
+  Simulation& simulation;
   std::vector<std::unique_ptr<Node>> nodes;
   control::ChainAdmission admission;
-  /// Repeats of each service, of all nodes together.
+  /// Repeat allowance of each service, shared by all nodes.
   std::vector<control::RepeatAllowance> allowances;
   std::uint64_t arrivals = 0;
 };
--- a/libs/model/src/scenario.cc
+++ b/libs/model/src/scenario.cc
@@ -18,24 +18,24 @@
       {"slow", FaultKind::kSlow},
       {"lost", FaultKind::kLost},
       {"cold", FaultKind::kCold},
-      {"lying", FaultKind::kLying},
+      {"lying", FaultKind::kFailingWhileHealthy},
       {"silent-links", FaultKind::kSilentLinks},
       {"log-down", FaultKind::kLogDown},
       {"shedding", FaultKind::kShedding}};
   return kKinds;
 }
 
-const std::map<std::string, Control>& Controls() {
-  static const std::map<std::string, Control> kControls = {
-      {"almondlink", Control::kAlmondlink}, {"relay", Control::kRelay}};
+const std::map<std::string, ControlKind>& Controls() {
+  static const std::map<std::string, ControlKind> kControls = {
+      {"almondlink", ControlKind::kAlmondlink}, {"relay", ControlKind::kRelay}};
   return kControls;
 }
 
 void ReadDeployment(const Json& line, Scenario& scenario) {
   scenario.seed = line.value("seed", std::uint64_t{1});
   scenario.duration_ms = line.at("duration_ms").get<double>();
-  scenario.zone_ms = line.value("zone_ms", 1.0);
-  scenario.client_ms = line.value("client_ms", 1.0);
+  scenario.zone_latency_ms = line.value("zone_ms", 1.0);
+  scenario.client_latency_ms = line.value("client_ms", 1.0);
   scenario.zones = line.at("zones").get<std::vector<std::string>>();
   scenario.control =
       Controls().at(line.value("control", std::string("almondlink")));
@@ -64,11 +64,12 @@
 }
 
 void ReadCall(const Json& line, Scenario& scenario) {
-  // A node records the calls that services make, too; they follow from the
-  // chains here.
+  // Nodes also record the calls that services make; the replay derives those
+  // from the call chains.
   if (line.value("depth", 0) == 0) {
-    scenario.calls.push_back({line.at("at_ms").get<double>(),
-                              line.at("operation").get<std::string>()});
+    scenario.recorded_calls.push_back(
+        {line.at("at_ms").get<double>(),
+         line.at("operation").get<std::string>()});
   }
 }
 
@@ -91,23 +92,23 @@
 }
 
 void ReadCause(const Json& line, Scenario& scenario) {
-  scenario.cause_from_ms = line.at("from_ms").get<double>();
-  scenario.cause_to_ms = line.at("to_ms").get<double>();
+  scenario.disturbance_from_ms = line.at("from_ms").get<double>();
+  scenario.disturbance_to_ms = line.at("to_ms").get<double>();
 }
 
 void ReadExpectation(const Json& line, int number, Scenario& scenario) {
   Expectation expectation;
   expectation.figure = line.at("figure").get<std::string>();
   expectation.criticality = line.value("class", "");
-  expectation.has_least = line.contains("at_least");
-  expectation.has_most = line.contains("at_most");
-  expectation.at_least = line.value("at_least", 0.0);
-  expectation.at_most = line.value("at_most", 0.0);
+  expectation.has_min = line.contains("at_least");
+  expectation.has_max = line.contains("at_most");
+  expectation.min_value = line.value("at_least", 0.0);
+  expectation.max_value = line.value("at_most", 0.0);
   expectation.line = number;
   scenario.expectations.push_back(expectation);
 }
 
-/// Reads one line; false for a type that is not known.
+/// Reads one line; returns false for an unknown type.
 bool ReadLine(const Json& line, int number, Scenario& scenario) {
   using Reader = void (*)(const Json&, Scenario&);
   static const std::map<std::string, Reader> kReaders = {
@@ -132,25 +133,26 @@
   return true;
 }
 
-/// Why a scenario cannot be run, or nothing.
-std::string FaultOf(const Scenario& scenario) {
+/// Returns why a scenario cannot be run; empty if it can.
+std::string ValidationError(const Scenario& scenario) {
   std::set<std::string> services;
   for (const ServiceModel& service : scenario.services) {
     const bool is_valid =
         service.instances > 0 && service.slots > 0 && service.work_ms > 0;
     if (!is_valid) {
-      return "service " + service.name + " needs instances, slots and work";
+      return "service " + service.name +
+             ": instances, slots and work_ms must be above 0";
     }
     services.insert(service.name);
   }
   if (scenario.zones.empty()) {
-    return "there is no deployment line with zones";
+    return "missing deployment line with zones";
   }
   std::vector<std::string> named;
   for (const ArrivalModel& arrival : scenario.arrivals) {
     named.push_back(arrival.operation);
   }
-  for (const RecordedCall& call : scenario.calls) {
+  for (const RecordedCall& call : scenario.recorded_calls) {
     named.push_back(call.operation);
   }
   for (const ChainModel& chain : scenario.chains) {
@@ -164,7 +166,7 @@
       return "the bundle has no operation " + name;
     }
     if (services.count(operation->service.Value()) == 0) {
-      return "there is no line for service " + operation->service.Value();
+      return "missing line for service " + operation->service.Value();
     }
   }
   return "";
@@ -205,9 +207,9 @@
   }
   BOOST_LEAF_AUTO(bundle_text, config::ReadFile(folder + bundle));
   BOOST_LEAF_ASSIGN(scenario.bundle, policy::RequireBundle(bundle_text));
-  const std::string fault = FaultOf(scenario);
-  if (!fault.empty()) {
-    return Fail(ErrorKind::kBadSettings, name + ": " + fault);
+  const std::string problem = ValidationError(scenario);
+  if (!problem.empty()) {
+    return Fail(ErrorKind::kBadSettings, name + ": " + problem);
   }
   return scenario;
 }
