--- a/libs/relay/include/almondlink/relay/bearer_key.h
+++ b/libs/relay/include/almondlink/relay/bearer_key.h
@@ -10,9 +10,9 @@
 /// Bearer KEY`).
 namespace almondlink::relay {
 
-enum class KeyForm : std::uint8_t {
+enum class BearerKeyStatus : std::uint8_t {
   /// There is one.
-  kKey,
+  kPresent,
   /// No credentials, or those of another scheme: 401.
   kAbsent,
   /// Not of the standard's form: several fields, or no token where one belongs:
@@ -22,7 +22,7 @@
 
 /// What a request's credentials hold. Thread safe.
 struct BearerKey {
-  KeyForm form = KeyForm::kAbsent;
+  BearerKeyStatus status = BearerKeyStatus::kAbsent;
   std::string key;
 };
 
--- a/libs/relay/include/almondlink/relay/caller_port.h
+++ b/libs/relay/include/almondlink/relay/caller_listener.h
@@ -1,5 +1,5 @@
-#ifndef ALMONDLINK_RELAY_CALLER_PORT_H_
-#define ALMONDLINK_RELAY_CALLER_PORT_H_
+#ifndef ALMONDLINK_RELAY_CALLER_LISTENER_H_
+#define ALMONDLINK_RELAY_CALLER_LISTENER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -27,27 +27,27 @@
 
   /// Sends a whole answer. `fields` are lines with their ends. At most one of
   /// Answer and BeginLong is called, once.
-  void Answer(std::uint32_t status,
-              std::string_view status_text,
-              std::string_view fields,
-              std::string_view body);
+  void SendAnswer(std::uint32_t status,
+                  std::string_view status_text,
+                  std::string_view fields,
+                  std::string_view body);
 
   /// Starts an answer whose body follows in parts.
-  void BeginLong(std::uint32_t status,
-                 std::string_view status_text,
-                 std::string_view fields,
-                 std::string_view first_part);
-  void Part(std::string_view body);
+  void BeginStreamedAnswer(std::uint32_t status,
+                           std::string_view status_text,
+                           std::string_view fields,
+                           std::string_view first_part);
+  void SendPart(std::string_view body);
   /// Ends a long answer; a broken one is cut so that it cannot look complete.
-  void EndLong(bool is_broken);
+  void EndStreamedAnswer(bool is_broken);
 
   /// The connection will be closed after the answer.
-  void CloseAfter();
+  void CloseAfterAnswer();
 
   /// Called when the caller left before its answer was complete.
-  std::function<void()> on_gone;
+  std::function<void()> on_disconnect;
   /// Bytes of a long answer that the caller's connection took.
-  std::function<void(std::size_t bytes)> on_taken;
+  std::function<void(std::size_t bytes)> on_bytes_sent;
 
  private:
   std::weak_ptr<CallerSession> session;
@@ -60,15 +60,15 @@
     void(RequestHead head, std::string body, CallerExchangePointer exchange)>;
 
 /// Listens for callers. Not thread safe: belongs to one loop.
-class CallerPort {
+class CallerListener {
  public:
   /// `names` must outlive the port.
-  CallerPort(boost::asio::io_context& loop,
-             const HeaderNames& names,
-             RequestHandler handler);
-  ~CallerPort();
-  CallerPort(const CallerPort&) = delete;
-  CallerPort& operator=(const CallerPort&) = delete;
+  CallerListener(boost::asio::io_context& loop,
+                 const HeaderNames& names,
+                 RequestHandler handler);
+  ~CallerListener();
+  CallerListener(const CallerListener&) = delete;
+  CallerListener& operator=(const CallerListener&) = delete;
 
   /// Opens the address. Errors: kIo.
   Result<void> Listen(const boost::asio::ip::tcp::endpoint& address);
@@ -85,8 +85,8 @@
   void CloseIdle();
 
   /// Connections open, and those of them with a request in work.
-  std::size_t Open() const;
-  std::size_t Busy() const;
+  std::size_t ConnectionCount() const;
+  std::size_t BusyConnectionCount() const;
 
   struct State;
 
@@ -96,4 +96,4 @@
 
 }  // namespace almondlink::relay
 
-#endif  // ALMONDLINK_RELAY_CALLER_PORT_H_
+#endif  // ALMONDLINK_RELAY_CALLER_LISTENER_H_
--- a/libs/relay/include/almondlink/relay/http_parser.h
+++ b/libs/relay/include/almondlink/relay/http_parser.h
@@ -51,7 +51,7 @@
 };
 
 /// What became of the bytes given to a parser.
-enum class ParseStep { kNeedMore, kDone, kBad };
+enum class ParseStatus { kNeedMore, kDone, kMalformed };
 
 /// Shared by both parsers: Beast's incremental parser fed from a text that
 /// keeps what was not used yet.
@@ -65,9 +65,9 @@
 
   /// Consumes from the front of `input`; leaves what it does not use, which
   /// after kDone belongs to the next message. Not thread safe.
-  ParseStep Feed(std::string& input);
+  ParseStatus Feed(std::string& input);
   /// The peer closed: true if that is the proper end of the message.
-  bool FinishAtEnd();
+  bool FinishAtEof();
 
   std::string body;
 
--- a/libs/relay/include/almondlink/relay/relay_node.h
+++ b/libs/relay/include/almondlink/relay/relay_node.h
@@ -14,7 +14,7 @@
 #include "almondlink/base/metrics.h"
 #include "almondlink/control/instance_ledger.h"
 #include "almondlink/policy/route_table.h"
-#include "almondlink/relay/caller_port.h"
+#include "almondlink/relay/caller_listener.h"
 #include "almondlink/relay/entry_calls.h"
 #include "almondlink/relay/peer_table.h"
 #include "almondlink/relay/relay_settings.h"
@@ -75,13 +75,15 @@
   /// Takes what was kept of a request that ended targets.
   void TakeGuilty(const control::RequestDigest& digest,
                   const control::BlameRecord& record) {
-    this->entry.Blame().Take(digest, record);
+    this->entry.Quarantine().Take(digest, record);
   }
 
   /// See BlameExchange.
-  std::string ListHeld() { return this->entry.Blame().ListHeld(BootTimeNow()); }
+  std::string ListHeld() {
+    return this->entry.Quarantine().ListHeld(BootTimeNow());
+  }
   bool LiftBlame(const std::string& digest) {
-    return this->entry.Blame().Lift(digest);
+    return this->entry.Quarantine().Lift(digest);
   }
 
   /// Makes another node known. True if nothing was known of it.
@@ -159,7 +161,7 @@
   ServedCalls served;
   PeerTable peers;
   EntryCalls entry;
-  CallerPort callers;
+  CallerListener callers;
   boost::asio::steady_timer tick_timer;
   std::string policy_text;
   /// When the policy in force was taken.
--- a/libs/relay/include/almondlink/relay/request_counts.h
+++ b/libs/relay/include/almondlink/relay/request_counts.h
@@ -16,7 +16,7 @@
 namespace almondlink::relay {
 
 /// How a request ended. Each request ends exactly once.
-enum class RequestEnd : std::uint8_t {
+enum class RequestOutcome : std::uint8_t {
   /// A target answered with success, or with a failure of its own.
   kServed,
   kFailedByTarget,
@@ -35,28 +35,28 @@
 };
 
 /// Name of an end in metrics.
-const char* ToString(RequestEnd end);
+const char* ToString(RequestOutcome outcome);
 
 /// Not thread safe: belongs to one loop.
 class RequestCounts {
  public:
   /// Counts the end of a request; `route` is null if none was found.
-  void NoteEnd(const policy::Route* route,
-               bool is_root,
-               RequestEnd end,
-               CallReason reason,
-               LatencyMs took);
+  void CountRequest(const policy::Route* route,
+                    bool is_root,
+                    RequestOutcome outcome,
+                    CallReason reason,
+                    LatencyMs latency);
 
   /// Counts the end of a root request of a client account.
-  void NoteAccount(const std::string& account, RequestEnd end);
+  void CountAccountRequest(const std::string& account, RequestOutcome outcome);
 
   /// Counts a send to a second target, or to another after one turned it back
   /// unsent.
-  void NoteRepeat(const policy::Route& route, CallReason after);
-  void NoteMove(const policy::Route& route, CallReason after);
+  void CountRepeat(const policy::Route& route, CallReason after);
+  void CountMove(const policy::Route& route, CallReason after);
 
   /// Counts the time that the nodes added to an answered request.
-  void NoteAdded(LatencyMs added) { this->added.Add(added); }
+  void RecordAddedLatency(LatencyMs added) { this->added_latency.Add(added); }
 
   /// Appends all series in the text exposition format.
   void Write(MetricText& out) const;
@@ -68,18 +68,18 @@
     std::string name;
     bool is_repeatable = false;
     /// By end and reason, of requests and of calls that targets make.
-    std::map<std::pair<RequestEnd, CallReason>, std::uint64_t> roots;
-    std::map<std::pair<RequestEnd, CallReason>, std::uint64_t> calls;
+    std::map<std::pair<RequestOutcome, CallReason>, std::uint64_t> roots;
+    std::map<std::pair<RequestOutcome, CallReason>, std::uint64_t> calls;
     Reasons repeats;
     Reasons moves;
-    LatencyHistogram took;
+    LatencyHistogram latency;
   };
 
-  RouteCounts& Of(const policy::Route* route);
+  RouteCounts& CountsFor(const policy::Route* route);
 
   std::unordered_map<std::uint32_t, RouteCounts> routes;
-  std::map<std::string, std::map<RequestEnd, std::uint64_t>> accounts;
-  LatencyHistogram added;
+  std::map<std::string, std::map<RequestOutcome, std::uint64_t>> accounts;
+  LatencyHistogram added_latency;
 };
 
 }  // namespace almondlink::relay
--- a/libs/relay/src/bearer_key.cc
+++ b/libs/relay/src/bearer_key.cc
@@ -10,7 +10,7 @@
 
 /// Longest key; the fields of a request are bounded anyway, and longer ones
 /// would only be hashed in vain.
-constexpr std::size_t kLongestKey = 4096;
+constexpr std::size_t kMaxKeyLength = 4096;
 
 /// Visible ASCII: wider than the standard's token68, since operators choose the
 /// keys.
@@ -34,7 +34,7 @@
     return result;
   }
   if (head.credential_count > 1) {
-    result.form = KeyForm::kMalformed;
+    result.status = BearerKeyStatus::kMalformed;
     return result;
   }
   const std::string_view value = Trimmed(head.credentials);
@@ -45,13 +45,13 @@
     return result;
   }
   const std::string_view key = Trimmed(value.substr(scheme.size()));
-  const bool is_key = !key.empty() && key.size() <= kLongestKey &&
+  const bool is_key = !key.empty() && key.size() <= kMaxKeyLength &&
                       std::all_of(key.begin(), key.end(), IsKeyCharacter);
   if (!is_key) {
-    result.form = KeyForm::kMalformed;
+    result.status = BearerKeyStatus::kMalformed;
     return result;
   }
-  result.form = KeyForm::kKey;
+  result.status = BearerKeyStatus::kPresent;
   result.key.assign(key);
   return result;
 }
--- a/libs/relay/src/caller_port.cc
+++ b/libs/relay/src/caller_listener.cc
@@ -1,4 +1,4 @@
-#include "almondlink/relay/caller_port.h"
+#include "almondlink/relay/caller_listener.h"
 
 #include <sys/resource.h>
 
@@ -22,80 +22,80 @@
 /// Idle connections that are closed together when descriptors are short: some
 /// more than one, so that a steady stream of new callers does not search all
 /// connections for each.
-constexpr std::size_t kCloseAtOnce = 16;
+constexpr std::size_t kIdleCloseBatch = 16;
 /// A connection that was just opened or used is about to be used.
-constexpr Millis kLeastIdle{300};
+constexpr Millis kMinIdleTime{300};
 /// Time until it is tried again to accept while every descriptor is in work.
-constexpr std::chrono::milliseconds kAcceptPause{50};
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
 /// Part of the descriptors that callers may use; links to other nodes and
 /// connections to the target need the rest.
-constexpr std::size_t kCallersPart = 2;
+constexpr std::size_t kDescriptorDivisor = 2;
 
 /// Connections of callers above which idle ones are closed.
-std::size_t MostSessions() {
+std::size_t MaxSessions() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0 ||
       limit.rlim_cur == RLIM_INFINITY) {
     return std::numeric_limits<std::size_t>::max();
   }
-  return static_cast<std::size_t>(limit.rlim_cur) / kCallersPart;
+  return static_cast<std::size_t>(limit.rlim_cur) / kDescriptorDivisor;
 }
 
-void Accept(const std::shared_ptr<CallerPort::State>& state);
+void Accept(const std::shared_ptr<CallerListener::State>& state);
 
 }  // namespace
 
 CallerExchange::CallerExchange(std::weak_ptr<CallerSession> session_in)
     : session(std::move(session_in)) {}
 
-void CallerExchange::Answer(std::uint32_t status,
-                            std::string_view status_text,
-                            std::string_view fields,
-                            std::string_view body) {
+void CallerExchange::SendAnswer(std::uint32_t status,
+                                std::string_view status_text,
+                                std::string_view fields,
+                                std::string_view body) {
   if (const std::shared_ptr<CallerSession> open = this->session.lock()) {
-    this->on_gone = nullptr;
+    this->on_disconnect = nullptr;
     open->WriteAnswer(status, status_text, fields, body);
   }
 }
 
-void CallerExchange::BeginLong(std::uint32_t status,
-                               std::string_view status_text,
-                               std::string_view fields,
-                               std::string_view first_part) {
+void CallerExchange::BeginStreamedAnswer(std::uint32_t status,
+                                         std::string_view status_text,
+                                         std::string_view fields,
+                                         std::string_view first_part) {
   if (const std::shared_ptr<CallerSession> open = this->session.lock()) {
-    open->BeginLong(status, status_text, fields, first_part);
+    open->BeginStreamedAnswer(status, status_text, fields, first_part);
   }
 }
 
-void CallerExchange::Part(std::string_view body) {
+void CallerExchange::SendPart(std::string_view body) {
   if (const std::shared_ptr<CallerSession> open = this->session.lock()) {
-    open->Part(body);
+    open->SendPart(body);
   }
 }
 
-void CallerExchange::EndLong(bool is_broken) {
+void CallerExchange::EndStreamedAnswer(bool is_broken) {
   if (const std::shared_ptr<CallerSession> open = this->session.lock()) {
-    this->on_gone = nullptr;
-    open->EndLong(is_broken);
+    this->on_disconnect = nullptr;
+    open->EndStreamedAnswer(is_broken);
   }
 }
 
-void CallerExchange::CloseAfter() {
+void CallerExchange::CloseAfterAnswer() {
   if (const std::shared_ptr<CallerSession> open = this->session.lock()) {
-    open->CloseAfter();
+    open->CloseAfterAnswer();
   }
 }
 
-std::size_t CallerPort::State::CloseLongestIdle() {
+std::size_t CallerListener::State::CloseLongestIdle() {
   std::vector<std::shared_ptr<CallerSession>> idle;
-  const Millis since = BootTimeNow() - kLeastIdle;
+  const Millis since = BootTimeNow() - kMinIdleTime;
   for (const std::shared_ptr<CallerSession>& session : this->sessions) {
     if (session->IsIdle() && session->LastActive() < since &&
         !session->HasUnread()) {
       idle.push_back(session);
     }
   }
-  const std::size_t count = std::min(idle.size(), kCloseAtOnce);
+  const std::size_t count = std::min(idle.size(), kIdleCloseBatch);
   std::partial_sort(idle.begin(), idle.begin() + static_cast<long>(count),
                     idle.end(),
                     [](const std::shared_ptr<CallerSession>& a,
@@ -115,16 +115,17 @@
 
 namespace {
 
-void AcceptLater(const std::shared_ptr<CallerPort::State>& state) {
-  state->pause.expires_after(kAcceptPause);
-  state->pause.async_wait([state](boost::system::error_code error) {
-    if (!error && state->acceptor.is_open()) {
-      Accept(state);
-    }
-  });
+void ScheduleAccept(const std::shared_ptr<CallerListener::State>& state) {
+  state->accept_retry_timer.expires_after(kAcceptRetryDelay);
+  state->accept_retry_timer.async_wait(
+      [state](boost::system::error_code error) {
+        if (!error && state->acceptor.is_open()) {
+          Accept(state);
+        }
+      });
 }
 
-void Accept(const std::shared_ptr<CallerPort::State>& state) {
+void Accept(const std::shared_ptr<CallerListener::State>& state) {
   state->acceptor.async_accept([state](boost::system::error_code error,
                                        boost::asio::ip::tcp::socket socket) {
     if (!state->acceptor.is_open()) {
@@ -132,11 +133,11 @@
     }
     if (IsShortage(error) && state->CloseLongestIdle() == 0) {
       // All are in work: the next one waits in the kernel's queue.
-      AcceptLater(state);
+      ScheduleAccept(state);
       return;
     }
     if (!error) {
-      if (state->sessions.size() >= MostSessions()) {
+      if (state->sessions.size() >= MaxSessions()) {
         state->CloseLongestIdle();
       }
       const std::shared_ptr<CallerSession> session =
@@ -150,17 +151,18 @@
 
 }  // namespace
 
-CallerPort::CallerPort(boost::asio::io_context& loop,
-                       const HeaderNames& names,
-                       RequestHandler handler)
+CallerListener::CallerListener(boost::asio::io_context& loop,
+                               const HeaderNames& names,
+                               RequestHandler handler)
     : state(std::make_shared<State>(loop, names, std::move(handler))) {}
 
-CallerPort::~CallerPort() {
+CallerListener::~CallerListener() {
   boost::system::error_code ignored;
   this->state->acceptor.close(ignored);
 }
 
-Result<void> CallerPort::Listen(const boost::asio::ip::tcp::endpoint& address) {
+Result<void> CallerListener::Listen(
+    const boost::asio::ip::tcp::endpoint& address) {
   boost::system::error_code error;
   boost::asio::ip::tcp::acceptor& acceptor = this->state->acceptor;
   acceptor.open(address.protocol(), error);
@@ -179,11 +181,11 @@
   return {};
 }
 
-void CallerPort::SetLimits(const policy::CallerLimits& limits) {
+void CallerListener::SetLimits(const policy::CallerLimits& limits) {
   this->state->limits = limits;
 }
 
-void CallerPort::Sweep(Millis now) {
+void CallerListener::Sweep(Millis now) {
   const std::vector<std::shared_ptr<CallerSession>> all(
       this->state->sessions.begin(), this->state->sessions.end());
   for (const std::shared_ptr<CallerSession>& session : all) {
@@ -191,11 +193,11 @@
   }
 }
 
-void CallerPort::StartClosing() {
+void CallerListener::StartClosing() {
   this->state->is_closing = true;
 }
 
-void CallerPort::CloseIdle() {
+void CallerListener::CloseIdle() {
   boost::system::error_code ignored;
   this->state->acceptor.close(ignored);
   const std::vector<std::shared_ptr<CallerSession>> all(
@@ -205,11 +207,11 @@
   }
 }
 
-std::size_t CallerPort::Open() const {
+std::size_t CallerListener::ConnectionCount() const {
   return this->state->sessions.size();
 }
 
-std::size_t CallerPort::Busy() const {
+std::size_t CallerListener::BusyConnectionCount() const {
   std::size_t busy = 0;
   for (const std::shared_ptr<CallerSession>& session : this->state->sessions) {
     busy += session->IsBusy() ? 1 : 0;
--- a/libs/relay/src/caller_session.cc
+++ b/libs/relay/src/caller_session.cc
@@ -14,9 +14,9 @@
 namespace {
 
 /// A caller that acknowledges nothing for so long is gone.
-constexpr Millis kSilence{10'000};
+constexpr Millis kAckTimeout{10'000};
 /// Bytes that a caller may send ahead while its request is in work.
-constexpr std::size_t kMostAhead = 64 * 1024;
+constexpr std::size_t kMaxReadAhead = 64 * 1024;
 /// Our own time-out on idle connections lies above the stated one, so that a
 /// caller never sends on a connection that is just being closed.
 constexpr std::int64_t kIdleFactorTenths = 13;
@@ -32,21 +32,21 @@
 
 }  // namespace
 
-CallerSession::CallerSession(std::shared_ptr<CallerPort::State> port_in,
+CallerSession::CallerSession(std::shared_ptr<CallerListener::State> port_in,
                              boost::asio::ip::tcp::socket socket_in)
-    : port(std::move(port_in)),
+    : listener(std::move(port_in)),
       socket(std::move(socket_in)),
       last_active(BootTimeNow()) {}
 
 void CallerSession::Start() {
-  PrepareSocket(this->socket, kSilence);
+  PrepareSocket(this->socket, kAckTimeout);
   this->Read();
 }
 
 void CallerSession::Close() {
   boost::system::error_code ignored;
   this->socket.close(ignored);
-  this->port->sessions.erase(this->shared_from_this());
+  this->listener->sessions.erase(this->shared_from_this());
 }
 
 void CallerSession::CloseIfIdle() {
@@ -60,17 +60,17 @@
     return;
   }
   const Millis idle = now - this->last_active;
-  const Millis allowed{this->port->limits.idle_timeout.count *
+  const Millis allowed{this->listener->limits.idle_timeout.count *
                        kIdleFactorTenths / 10};
-  if (idle > allowed ||
-      (this->has_started && idle > this->port->limits.header_timeout * 2)) {
+  if (idle > allowed || (this->has_partial_request &&
+                         idle > this->listener->limits.header_timeout * 2)) {
     this->Close();
   }
 }
 
 void CallerSession::Read() {
   if (this->is_reading || !this->socket.is_open() ||
-      (this->IsBusy() && this->input.size() > kMostAhead)) {
+      (this->IsBusy() && this->input.size() > kMaxReadAhead)) {
     return;
   }
   this->is_reading = true;
@@ -88,7 +88,7 @@
     return;
   }
   if (error) {
-    this->Gone();
+    this->OnDisconnect();
     return;
   }
   this->input.append(bytes);
@@ -104,28 +104,28 @@
     return;
   }
   if (!this->parser.has_value()) {
-    this->parser.emplace(this->port->names);
-    this->was_continue_sent = false;
+    this->parser.emplace(this->listener->names);
+    this->has_sent_continue = false;
   }
-  this->has_started = true;
-  const ParseStep step = this->parser->Feed(this->input);
-  if (step == ParseStep::kBad) {
+  this->has_partial_request = true;
+  const ParseStatus step = this->parser->Feed(this->input);
+  if (step == ParseStatus::kMalformed) {
     this->Refuse(kBadRequest, "Bad Request");
     return;
   }
   const bool is_head_done = this->parser->is_header_done();
-  if (!is_head_done && this->input.size() > this->port->limits.max_header) {
+  if (!is_head_done && this->input.size() > this->listener->limits.max_header) {
     this->Refuse(kFieldsTooLarge, "Request Header Fields Too Large");
     return;
   }
-  if (this->parser->body.size() > this->port->limits.max_body) {
+  if (this->parser->body.size() > this->listener->limits.max_body) {
     this->Refuse(kTooLarge, "Content Too Large");
     return;
   }
-  if (step == ParseStep::kNeedMore) {
+  if (step == ParseStatus::kNeedMore) {
     if (is_head_done && this->parser->head.expects_continue &&
-        !this->was_continue_sent) {
-      this->was_continue_sent = true;
+        !this->has_sent_continue) {
+      this->has_sent_continue = true;
       this->output += "HTTP/1.1 100 Continue\r\n\r\n";
       this->Write();
     }
@@ -134,15 +134,15 @@
   RequestHead head = std::move(this->parser->head);
   std::string body = std::move(this->parser->body);
   this->parser.reset();
-  this->has_started = false;
-  this->is_head_method = head.method == "HEAD";
-  this->is_last = this->is_last || !head.is_keep_alive;
+  this->has_partial_request = false;
+  this->is_head_request = head.method == "HEAD";
+  this->is_last_answer = this->is_last_answer || !head.is_keep_alive;
   this->exchange = std::make_shared<CallerExchange>(this->weak_from_this());
-  this->port->handler(std::move(head), std::move(body), this->exchange);
+  this->listener->handler(std::move(head), std::move(body), this->exchange);
 }
 
 void CallerSession::Refuse(std::uint32_t status, std::string_view text) {
-  this->is_last = true;
+  this->is_last_answer = true;
   this->exchange = std::make_shared<CallerExchange>(this->weak_from_this());
   this->WriteAnswer(status, text, "", "");
 }
@@ -150,14 +150,14 @@
 void CallerSession::WriteHead(std::uint32_t status,
                               std::string_view status_text,
                               std::string_view fields) {
-  this->is_last = this->is_last || this->port->is_closing;
+  this->is_last_answer = this->is_last_answer || this->listener->is_closing;
   this->output += "HTTP/1.1 ";
   this->output += std::to_string(status);
   this->output += ' ';
   this->output += status_text;
   this->output += "\r\n";
   this->output += fields;
-  if (this->is_last) {
+  if (this->is_last_answer) {
     this->output += "Connection: close\r\n";
   }
 }
@@ -173,25 +173,25 @@
     this->output += "Content-Length: ";
     this->output += std::to_string(body.size());
     this->output += "\r\n\r\n";
-    if (!this->is_head_method) {
+    if (!this->is_head_request) {
       this->output += body;
     }
   }
-  this->is_ending = true;
+  this->is_answer_complete = true;
   this->Write();
 }
 
-void CallerSession::BeginLong(std::uint32_t status,
-                              std::string_view status_text,
-                              std::string_view fields,
-                              std::string_view first_part) {
-  this->is_long = true;
+void CallerSession::BeginStreamedAnswer(std::uint32_t status,
+                                        std::string_view status_text,
+                                        std::string_view fields,
+                                        std::string_view first_part) {
+  this->is_streaming = true;
   this->WriteHead(status, status_text, fields);
   this->output += "Transfer-Encoding: chunked\r\n\r\n";
-  this->Part(first_part);
+  this->SendPart(first_part);
 }
 
-void CallerSession::Part(std::string_view body) {
+void CallerSession::SendPart(std::string_view body) {
   if (body.empty()) {
     return;
   }
@@ -201,18 +201,18 @@
   this->output.append(size.data(), static_cast<std::size_t>(length));
   this->output += body;
   this->output += "\r\n";
-  this->long_pending += body.size();
+  this->pending_stream_bytes += body.size();
   this->Write();
 }
 
-void CallerSession::EndLong(bool is_broken) {
+void CallerSession::EndStreamedAnswer(bool is_broken) {
   if (is_broken) {
     this->exchange.reset();
     this->Close();
     return;
   }
   this->output += "0\r\n\r\n";
-  this->is_ending = true;
+  this->is_answer_complete = true;
   this->Write();
 }
 
@@ -239,7 +239,7 @@
       return;
     }
     if (error) {
-      this->Gone();
+      this->OnDisconnect();
       return;
     }
   }
@@ -249,24 +249,24 @@
 void CallerSession::OnWritten() {
   std::string().swap(this->output);
   this->written = 0;
-  if (this->is_long && this->long_pending > 0 && this->exchange != nullptr &&
-      this->exchange->on_taken) {
-    const std::size_t taken = this->long_pending;
-    this->long_pending = 0;
-    this->exchange->on_taken(taken);
+  if (this->is_streaming && this->pending_stream_bytes > 0 &&
+      this->exchange != nullptr && this->exchange->on_bytes_sent) {
+    const std::size_t taken = this->pending_stream_bytes;
+    this->pending_stream_bytes = 0;
+    this->exchange->on_bytes_sent(taken);
   }
-  if (this->is_ending) {
+  if (this->is_answer_complete) {
     this->FinishExchange();
   }
 }
 
 void CallerSession::FinishExchange() {
-  this->is_ending = false;
-  this->is_long = false;
-  this->long_pending = 0;
+  this->is_answer_complete = false;
+  this->is_streaming = false;
+  this->pending_stream_bytes = 0;
   this->exchange.reset();
   this->last_active = BootTimeNow();
-  if (this->is_last) {
+  if (this->is_last_answer) {
     // Closing with unread bytes would reset the answer away.
     boost::system::error_code ignored;
     this->socket.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
@@ -279,22 +279,24 @@
     // Idle for long, perhaps: nothing is kept for it.
     std::string().swap(this->input);
   } else {
-    boost::asio::post(this->port->loop, [self = this->shared_from_this()]() {
-      if (self->socket.is_open() && !self->IsBusy()) {
-        self->Parse();
-        self->Read();
-      }
-    });
+    boost::asio::post(this->listener->loop,
+                      [self = this->shared_from_this()]() {
+                        if (self->socket.is_open() && !self->IsBusy()) {
+                          self->Parse();
+                          self->Read();
+                        }
+                      });
   }
 }
 
-void CallerSession::Gone() {
-  const CallerExchangePointer left = std::move(this->exchange);
+void CallerSession::OnDisconnect() {
+  const CallerExchangePointer aborted = std::move(this->exchange);
   this->exchange.reset();
   this->Close();
-  if (left != nullptr && left->on_gone) {
-    const std::function<void()> on_gone = std::move(left->on_gone);
-    on_gone();
+  if (aborted != nullptr && aborted->on_disconnect) {
+    const std::function<void()> on_disconnect =
+        std::move(aborted->on_disconnect);
+    on_disconnect();
   }
 }
 
--- a/libs/relay/src/caller_session.h
+++ b/libs/relay/src/caller_session.h
@@ -7,14 +7,14 @@
 #include <string>
 #include <unordered_set>
 
-#include "almondlink/relay/caller_port.h"
+#include "almondlink/relay/caller_listener.h"
 
 namespace almondlink::relay {
 
 /// One connection of a caller.
 class CallerSession : public std::enable_shared_from_this<CallerSession> {
  public:
-  CallerSession(std::shared_ptr<CallerPort::State> port,
+  CallerSession(std::shared_ptr<CallerListener::State> port,
                 boost::asio::ip::tcp::socket socket);
 
   void Start();
@@ -25,7 +25,8 @@
   bool IsBusy() const { return this->exchange != nullptr; }
   /// Whether it waits for a request of which nothing has come.
   bool IsIdle() const {
-    return !this->IsBusy() && this->output.empty() && !this->has_started;
+    return !this->IsBusy() && this->output.empty() &&
+           !this->has_partial_request;
   }
   Millis LastActive() const { return this->last_active; }
   /// Whether bytes have come that were not read yet.
@@ -39,13 +40,13 @@
                    std::string_view status_text,
                    std::string_view fields,
                    std::string_view body);
-  void BeginLong(std::uint32_t status,
-                 std::string_view status_text,
-                 std::string_view fields,
-                 std::string_view first_part);
-  void Part(std::string_view body);
-  void EndLong(bool is_broken);
-  void CloseAfter() { this->is_last = true; }
+  void BeginStreamedAnswer(std::uint32_t status,
+                           std::string_view status_text,
+                           std::string_view fields,
+                           std::string_view first_part);
+  void SendPart(std::string_view body);
+  void EndStreamedAnswer(bool is_broken);
+  void CloseAfterAnswer() { this->is_last_answer = true; }
 
  private:
   void Read();
@@ -58,28 +59,28 @@
   void Write();
   void OnWritten();
   void FinishExchange();
-  void Gone();
+  void OnDisconnect();
 
-  std::shared_ptr<CallerPort::State> port;
+  std::shared_ptr<CallerListener::State> listener;
   boost::asio::ip::tcp::socket socket;
   std::string input;
   std::optional<RequestParser> parser;
   CallerExchangePointer exchange;
   std::string output;
   std::size_t written = 0;
-  std::size_t long_pending = 0;
+  std::size_t pending_stream_bytes = 0;
   Millis last_active;
   bool is_reading = false;
   bool is_write_waiting = false;
-  bool is_last = false;
-  bool is_head_method = false;
-  bool is_long = false;
-  bool is_ending = false;
-  bool has_started = false;
-  bool was_continue_sent = false;
+  bool is_last_answer = false;
+  bool is_head_request = false;
+  bool is_streaming = false;
+  bool is_answer_complete = false;
+  bool has_partial_request = false;
+  bool has_sent_continue = false;
 };
 
-struct CallerPort::State {
+struct CallerListener::State {
   State(boost::asio::io_context& loop_in,
         const HeaderNames& names_in,
         RequestHandler handler_in)
@@ -87,7 +88,7 @@
         names(names_in),
         handler(std::move(handler_in)),
         acceptor(loop_in),
-        pause(loop_in) {}
+        accept_retry_timer(loop_in) {}
 
   /// Closes the longest idle connections; the number of them.
   std::size_t CloseLongestIdle();
@@ -97,7 +98,7 @@
   RequestHandler handler;
   boost::asio::ip::tcp::acceptor acceptor;
   /// Runs while no further connection can be accepted.
-  boost::asio::steady_timer pause;
+  boost::asio::steady_timer accept_retry_timer;
   policy::CallerLimits limits;
   std::unordered_set<std::shared_ptr<CallerSession>> sessions;
   bool is_closing = false;
--- a/libs/relay/src/entry_accounts.cc
+++ b/libs/relay/src/entry_accounts.cc
@@ -20,45 +20,45 @@
 
 /// Advice while a node may be behind the policy: it asks another node at once,
 /// and has it within a few round trips.
-constexpr Millis kBehindWait{300};
+constexpr Millis kStalePolicyRetryAfter{300};
 /// A node that has not heard of the source of the policy for so long cannot
 /// tell whether a key that it does not know is new. Nodes tell their state once
 /// a second.
-constexpr Millis kUnsureAfter{1500};
+constexpr Millis kPolicyContactTimeout{1500};
 /// Runs that a start of this node before had sent to the same instance may
 /// still make calls for as long as their callers wait.
-constexpr Millis kCallsOfRunsBefore{10'000};
+constexpr Millis kPreviousRunsPeriod{10'000};
 /// A request waits for a token of its account for an eighth of its latency
 /// target, which loses it nothing, but for one answer of the lender's at least.
-constexpr std::int64_t kQuotaWaitPart = 8;
+constexpr std::int64_t kQuotaWaitDivisor = 8;
 /// Right after a start nobody may lend yet, and no target may be known either:
 /// then it waits for as long as for a target.
-constexpr std::int64_t kStartWaitPart = 2;
-constexpr Millis kLeastQuotaWait{60};
-constexpr Millis kShortestReturn{50};
+constexpr std::int64_t kStartupQuotaWaitDivisor = 2;
+constexpr Millis kMinQuotaWait{60};
+constexpr Millis kMinRetryAfter{50};
 
 }  // namespace
 
-bool EntryCalls::Identify(const CallPointer& call) {
+bool EntryCalls::Authenticate(const CallPointer& call) {
   if (!call->table->has_accounts) {
     // Another program's business: passed on as it came.
     call->head.fields += call->head.identity_fields;
     return true;
   }
-  return call->is_of_run || this->IdentifyByKey(call);
+  return call->has_local_parent || this->AuthenticateByKey(call);
 }
 
-bool EntryCalls::IdentifyByKey(const CallPointer& call) {
-  const bool is_needed = !call->route->is_anonymous;
+bool EntryCalls::AuthenticateByKey(const CallPointer& call) {
+  const bool is_key_required = !call->route->is_anonymous;
   const BearerKey bearer = ReadBearerKey(call->head);
-  if (bearer.form == KeyForm::kKey) {
+  if (bearer.status == BearerKeyStatus::kPresent) {
     call->account = call->table->accounts.FindByApiKey(bearer.key);
   }
   const Millis now = call->arrived;
   if (call->account != nullptr) {
     call->api_key = bearer.key;
-    if (is_needed && !this->CanVouch(now)) {
-      this->RefuseKey(call, kStatusUnavailable, "out-of-touch");
+    if (is_key_required && !this->CanTrustPolicy(now)) {
+      this->RefuseAuthentication(call, kStatusUnavailable, "out-of-touch");
       return false;
     }
     call->is_root = true;
@@ -73,41 +73,42 @@
         .append("\r\n");
     return true;
   }
-  if (!is_needed) {
+  if (!is_key_required) {
     return true;
   }
-  if (bearer.form == KeyForm::kMalformed) {
-    this->RefuseKey(call, kStatusBadRequest, "malformed");
+  if (bearer.status == BearerKeyStatus::kMalformed) {
+    this->RefuseAuthentication(call, kStatusBadRequest, "malformed");
     return false;
   }
-  if (bearer.form == KeyForm::kKey) {
-    const bool is_behind = this->MayBeBehind();
+  if (bearer.status == BearerKeyStatus::kPresent) {
+    const bool may_be_stale = this->MayHaveStalePolicy();
     call->api_key = bearer.key;
-    this->RefuseKey(call, is_behind ? kStatusUnavailable : kStatusUnauthorized,
-                    is_behind ? "behind" : "unknown");
+    this->RefuseAuthentication(
+        call, may_be_stale ? kStatusUnavailable : kStatusUnauthorized,
+        may_be_stale ? "behind" : "unknown");
     return false;
   }
   if (call->is_root) {
-    this->RefuseKey(call, kStatusUnauthorized, "absent");
+    this->RefuseAuthentication(call, kStatusUnauthorized, "absent");
     return false;
   }
-  const bool may_be_of_run_before =
-      now - this->started <= kCallsOfRunsBefore &&
+  const bool may_be_of_previous_run =
+      now - this->started_at <= kPreviousRunsPeriod &&
       control::MayBeOlderThanNode(this->served.Ledger());
-  if (may_be_of_run_before) {
+  if (may_be_of_previous_run) {
     return true;
   }
   // A call of a run that has ended: nobody waits for what it would bring.
-  this->RefuseKey(call, kStatusUnavailable, "run-ended");
+  this->RefuseAuthentication(call, kStatusUnavailable, "run-ended");
   return false;
 }
 
-void EntryCalls::RefuseKey(const CallPointer& call,
-                           std::uint32_t status,
-                           const char* reason) {
-  this->NoteEnd(*call, RequestEnd::kUnknownKey, CallReason::kNone);
+void EntryCalls::RefuseAuthentication(const CallPointer& call,
+                                      std::uint32_t status,
+                                      const char* reason) {
+  this->CountOutcome(*call, RequestOutcome::kUnknownKey, CallReason::kNone);
   if (WouldLog(kEventUnknownKey)) {
-    const Millis age = call->arrived - this->table_taken;
+    const Millis age = call->arrived - this->table_set_at;
     LogEvent(
         kEventUnknownKey,
         {{"request", call->head.id},
@@ -127,37 +128,38 @@
                  ? "WWW-Authenticate: Bearer\r\n"
                  : "WWW-Authenticate: Bearer error=\"invalid_token\"\r\n";
   } else if (status == kStatusUnavailable) {
-    fields = RetryAfterField(kBehindWait);
+    fields = RetryAfterField(kStalePolicyRetryAfter);
   }
-  call->exchange->Answer(status, StatusText(status), fields, "");
+  call->exchange->SendAnswer(status, StatusText(status), fields, "");
 }
 
 /// Notes whether the source of the policy is in reach.
-void EntryCalls::NoteSource(Millis now) {
+void EntryCalls::RecordPolicyContact(Millis now) {
   if (this->peers.IsInTouchWithSource()) {
-    this->vouched = now;
+    this->last_policy_contact = now;
   }
 }
 
 /// Whether there may be a newer policy than the one in force here.
-bool EntryCalls::MayBeBehind() const {
+bool EntryCalls::MayHaveStalePolicy() const {
   const std::uint64_t own = this->table->version;
-  const bool is_told = std::any_of(
+  const bool has_newer_peer = std::any_of(
       this->peers.All().begin(), this->peers.All().end(),
       [own](const PeerPointer& peer) {
         return peer->IsReachable() && peer->told.policy_version > own;
       });
-  return is_told || BootTimeNow() - this->vouched > kUnsureAfter;
+  return has_newer_peer ||
+         BootTimeNow() - this->last_policy_contact > kPolicyContactTimeout;
 }
 
 /// Whether this node may still believe the keys that it knows.
-bool EntryCalls::CanVouch(Millis now) const {
+bool EntryCalls::CanTrustPolicy(Millis now) const {
   const std::optional<Millis>& limit = this->settings.revoke_after;
-  return !limit.has_value() || now - this->vouched <= *limit;
+  return !limit.has_value() || now - this->last_policy_contact <= *limit;
 }
 
 /// Whether its key still names its account, by the policy in force now.
-bool EntryCalls::IsStillKnown(const Call& call) const {
+bool EntryCalls::IsKeyStillValid(const Call& call) const {
   if (call.account == nullptr || call.table == this->table) {
     return true;
   }
@@ -166,12 +168,12 @@
   return account != nullptr && account->key == call.account->key;
 }
 
-bool EntryCalls::IsLimited(const Call& call) {
+bool EntryCalls::HasQuota(const Call& call) {
   return call.account != nullptr && call.account->limit.per_s > 0;
 }
 
-bool EntryCalls::TakeQuota(const CallPointer& call) {
-  if (!this->IsLimited(*call)) {
+bool EntryCalls::AcquireQuota(const CallPointer& call) {
+  if (!this->HasQuota(*call)) {
     return true;
   }
   const policy::ClientAccount& account = *call->account;
@@ -186,13 +188,12 @@
       break;
   }
   const std::int64_t part = this->quotas.MayBeUnsettled(call->arrived)
-                                ? kStartWaitPart
-                                : kQuotaWaitPart;
-  call->quota_until =
+                                ? kStartupQuotaWaitDivisor
+                                : kQuotaWaitDivisor;
+  call->quota_wait_deadline =
       call->arrived +
-      std::max(kLeastQuotaWait,
-               Millis{call->route->latency_target.count / part});
-  this->Open(call);
+      std::max(kMinQuotaWait, Millis{call->route->latency_target.count / part});
+  this->Register(call);
   std::deque<std::weak_ptr<Call>>& waiters = this->quota_waiters[account.key];
   waiters.push_back(call);
   this->quotas.Ask(account, static_cast<std::uint32_t>(waiters.size()),
@@ -222,7 +223,7 @@
       continue;
     }
     const bool is_over = this->quotas.IsEmpty(*call->account, now);
-    if (!is_over && now < call->quota_until) {
+    if (!is_over && now < call->quota_wait_deadline) {
       this->quotas.Ask(*call->account,
                        static_cast<std::uint32_t>(waiters.size()), now);
       return;
@@ -251,16 +252,17 @@
 
 void EntryCalls::RefuseOverQuota(const CallPointer& call) {
   const policy::ClientAccount& account = *call->account;
-  const Millis told = this->quotas.WaitOf(account);
+  const Millis base_wait = this->quotas.WaitOf(account);
   const bool is_over = !this->quotas.IsSilent(account, BootTimeNow());
   // Spread, so that those refused together do not return together.
-  const Millis wait =
-      std::max(kShortestReturn,
-               Millis{static_cast<std::int64_t>(
-                   static_cast<double>(told.count) * (1 + this->Draw() / 2))});
+  const Millis wait = std::max(
+      kMinRetryAfter,
+      Millis{static_cast<std::int64_t>(static_cast<double>(base_wait.count) *
+                                       (1 + this->Draw() / 2))});
   const std::uint32_t status = is_over ? kStatusTooMany : kStatusUnavailable;
-  this->NoteEnd(*call, is_over ? RequestEnd::kOverQuota : RequestEnd::kNotRun,
-                CallReason::kNone);
+  this->CountOutcome(
+      *call, is_over ? RequestOutcome::kOverQuota : RequestOutcome::kNotRun,
+      CallReason::kNone);
   if (WouldLog(kEventOverQuota)) {
     LogEvent(kEventOverQuota,
              {{"request", call->head.id},
@@ -275,7 +277,8 @@
               {"version", std::to_string(call->table->version)},
               {"retry_after_ms", std::to_string(wait.count)}});
   }
-  call->exchange->Answer(status, StatusText(status), RetryAfterField(wait), "");
+  call->exchange->SendAnswer(status, StatusText(status), RetryAfterField(wait),
+                             "");
 }
 
 }  // namespace almondlink::relay
--- a/libs/relay/src/entry_admission.cc
+++ b/libs/relay/src/entry_admission.cc
@@ -15,10 +15,10 @@
 namespace {
 
 /// Advice when to come back if nothing is known of the route, and the shortest.
-constexpr Millis kShortestWait{300};
-constexpr Millis kShortestReturn{50};
+constexpr Millis kDefaultRetryAfter{300};
+constexpr Millis kMinRetryAfter{50};
 /// Change of a share that is worth a line in the log.
-constexpr double kLoggedStep = 0.1;
+constexpr double kLoggedShareStep = 0.1;
 
 }  // namespace
 
@@ -45,9 +45,9 @@
               {"retry_after_ms", std::to_string(wait.count)}});
   }
   const auto bound = this->admission.routes.find(call->info.root_route);
-  ++this->refused_for[bound == this->admission.routes.end()
-                          ? std::string()
-                          : bound->second.bound_by];
+  ++this->refusals_by_service[bound == this->admission.routes.end()
+                                  ? std::string()
+                                  : bound->second.bound_by];
   call->is_refused_at_entry = true;
   if (call->id != 0) {
     this->Finish(call);
@@ -56,7 +56,7 @@
   return false;
 }
 
-bool EntryCalls::IsShort(const std::string& service) const {
+bool EntryCalls::IsBottleneck(const std::string& service) const {
   return std::any_of(
       this->admission.routes.begin(), this->admission.routes.end(),
       [&service](const auto& route) {
@@ -70,64 +70,64 @@
 /// come back in any case, and what they get is late.
 Millis EntryCalls::RetryAfter(const Call& call) {
   if (call.route == nullptr) {
-    return kShortestWait;
+    return kDefaultRetryAfter;
   }
   const double middle = this->settings.decisions.return_part *
                         static_cast<double>(call.route->latency_target.count);
   const Millis spread{static_cast<std::int64_t>(middle * (0.5 + this->Draw()))};
-  return std::max(kShortestReturn, spread);
+  return std::max(kMinRetryAfter, spread);
 }
 
 void EntryCalls::UpdateAdmission(Millis now) {
-  this->NoteSource(now);
+  this->RecordPolicyContact(now);
   control::UpdateRootRates(now, this->admission);
   const DecisionRules& rules = this->settings.decisions;
   const bool counts_errors = rules.error_targets > 0;
-  std::map<std::string, control::ServiceRoom> rooms;
+  std::map<std::string, control::ServiceRoom> capacities;
   std::map<std::uint32_t, control::RootSum> roots;
   for (const PeerPointer& peer : this->peers.All()) {
     if (!peer->IsReachable()) {
       continue;
     }
-    const StateFrame& told = peer->told;
+    const StateFrame& state = peer->told;
     const std::vector<control::RootRate> rates =
-        peer->is_self ? control::OwnRates(this->admission) : told.roots;
+        peer->is_self ? control::OwnRates(this->admission) : state.roots;
     for (const control::RootRate& rate : rates) {
       control::AddRate(rate, roots);
     }
-    if (told.instance.empty()) {
+    if (state.instance.empty()) {
       continue;
     }
     control::TargetRoom target;
     const bool is_open =
-        told.state == InstanceState::kReady && !told.is_stopping;
-    target.slots = is_open ? told.slots : 0;
+        state.state == InstanceState::kReady && !state.is_stopping;
+    target.slots = is_open ? state.slots : 0;
     if (is_open) {
-      this->last_open[told.service] = now;
+      this->last_available[state.service] = now;
     }
-    target.waiting = told.waiting;
-    target.work_ms = told.work_ms;
-    target.erring = counts_errors ? told.erring : 0;
-    target.demand = told.demand;
-    control::ServiceRoom& room = rooms[told.service];
-    room.service = told.service;
-    room.key = ServiceKeyOf(told.service);
-    room.targets.push_back(std::move(target));
+    target.waiting = state.waiting;
+    target.work_ms = state.work_ms;
+    target.erring = counts_errors ? state.erring : 0;
+    target.demand = state.demand;
+    control::ServiceRoom& capacity = capacities[state.service];
+    capacity.service = state.service;
+    capacity.key = ServiceKeyOf(state.service);
+    capacity.targets.push_back(std::move(target));
   }
   std::vector<control::ServiceRoom> services;
-  services.reserve(rooms.size());
-  for (auto& [service, room] : rooms) {
-    services.push_back(std::move(room));
+  services.reserve(capacities.size());
+  for (auto& [service, capacity] : capacities) {
+    services.push_back(std::move(capacity));
   }
   control::UpdateShares(rules.admission, services, roots, this->admission);
-  this->LogShares();
+  this->LogShareChanges();
 }
 
 /// A line when a share has moved by a tenth since the last line.
-void EntryCalls::LogShares() {
+void EntryCalls::LogShareChanges() {
   for (const auto& [route, state] : this->admission.routes) {
     const auto [logged, is_new] = this->logged_shares.emplace(route, 1.0);
-    if (std::abs(logged->second - state.share) >= kLoggedStep) {
+    if (std::abs(logged->second - state.share) >= kLoggedShareStep) {
       logged->second = state.share;
       LogEvent(kEventShareChanged,
                {{"route", this->RouteName(route)},
--- a/libs/relay/src/entry_ends.cc
+++ b/libs/relay/src/entry_answers.cc
@@ -9,24 +9,27 @@
 
 namespace {
 
-constexpr std::uint32_t kFirstFailure = 400;
+constexpr std::uint32_t kMinErrorStatus = 400;
 constexpr double kMicrosPerMilli = 1000;
 
 }  // namespace
 
-void EntryCalls::PassAnswer(const CallPointer& call, const AnswerFrame& frame) {
-  if (call->is_left && frame.has_more) {
+void EntryCalls::ForwardAnswer(const CallPointer& call,
+                               const AnswerFrame& frame) {
+  if (call->is_caller_gone && frame.has_more) {
     // Nobody takes the rest, and it would wait to be taken.
-    this->DropAttempt(call);
+    this->CancelAttempt(call);
     this->Finish(call);
     return;
   }
   const double took = PreciseNow().count - call->started.count;
-  this->counts.NoteAdded(LatencyMs{took - frame.work_us / kMicrosPerMilli});
-  this->NoteEnd(*call,
-                frame.status < kFirstFailure ? RequestEnd::kServed
-                                             : RequestEnd::kFailedByTarget,
-                CallReason::kNone);
+  this->counts.RecordAddedLatency(
+      LatencyMs{took - frame.work_us / kMicrosPerMilli});
+  this->CountOutcome(*call,
+                     frame.status < kMinErrorStatus
+                         ? RequestOutcome::kServed
+                         : RequestOutcome::kFailedByTarget,
+                     CallReason::kNone);
   if (WouldLog(kEventAnswered)) {
     LogEvent(kEventAnswered,
              {{"request", call->head.id},
@@ -35,22 +38,23 @@
               {"target", call->peer->told.instance},
               {"status", std::to_string(frame.status)},
               {"attempts", std::to_string(call->attempts + 1)},
-              {"load", std::to_string(call->chosen_load)},
-              {"slots", std::to_string(call->chosen_slots)},
-              {"told_age_ms", std::to_string(call->chosen_age.count)},
+              {"load", std::to_string(call->load_at_choice)},
+              {"slots", std::to_string(call->slots_at_choice)},
+              {"told_age_ms", std::to_string(call->state_age_at_choice.count)},
               {"version", std::to_string(call->table->version)},
               {"took_ms", std::to_string(took)}});
   }
   if (!frame.has_more) {
     const CallerExchangePointer exchange = call->exchange;
     this->Finish(call);
-    exchange->Answer(frame.status, frame.status_text, frame.fields, frame.body);
+    exchange->SendAnswer(frame.status, frame.status_text, frame.fields,
+                         frame.body);
     return;
   }
-  call->is_long = true;
-  this->ends.erase({call->end.count, call->id});
+  call->is_streaming = true;
+  this->timeouts.erase({call->expires_at.count, call->id});
   const std::weak_ptr<Call> weak = call;
-  call->exchange->on_taken = [this, weak](std::size_t bytes) {
+  call->exchange->on_bytes_sent = [this, weak](std::size_t bytes) {
     const CallPointer open = weak.lock();
     if (open == nullptr || open->peer == nullptr) {
       return;
@@ -64,8 +68,8 @@
       open->peer->link->FlushSoon();
     }
   };
-  call->exchange->BeginLong(frame.status, frame.status_text, frame.fields,
-                            frame.body);
+  call->exchange->BeginStreamedAnswer(frame.status, frame.status_text,
+                                      frame.fields, frame.body);
 }
 
 void EntryCalls::OnPart(const PeerPointer& peer, const DataFrame& frame) {
@@ -74,29 +78,29 @@
     return;
   }
   const CallPointer call = found->second;
-  call->exchange->Part(frame.body);
+  call->exchange->SendPart(frame.body);
   if (frame.is_last) {
     if (!frame.is_broken) {
-      this->NoteWholeRun(call);
+      this->RecordCompletion(call);
     } else if (frame.is_target_ended) {
-      this->NoteTargetEnd(call, peer);
+      this->RecordTargetCrash(call, peer);
     }
     const CallerExchangePointer exchange = call->exchange;
     this->Finish(call);
-    exchange->EndLong(frame.is_broken);
+    exchange->EndStreamedAnswer(frame.is_broken);
   }
 }
 
 void EntryCalls::FinishFailed(const CallPointer& call, CallReason reason) {
   if (call->peer != nullptr) {
-    call->last_target = call->peer->told.instance;
+    call->last_instance = call->peer->told.instance;
   }
   this->Finish(call);
-  if (call->kept.has_value()) {
-    const KeptAnswer& kept = *call->kept;
-    this->NoteEnd(*call, RequestEnd::kFailedByTarget, reason);
-    call->exchange->Answer(kept.status, kept.status_text, kept.fields,
-                           kept.body);
+  if (call->fallback_answer.has_value()) {
+    const FallbackAnswer& fallback = *call->fallback_answer;
+    this->CountOutcome(*call, RequestOutcome::kFailedByTarget, reason);
+    call->exchange->SendAnswer(fallback.status, fallback.status_text,
+                               fallback.fields, fallback.body);
     return;
   }
   if (!call->may_have_run) {
@@ -107,8 +111,9 @@
       reason == CallReason::kTimeout || reason == CallReason::kDeadline;
   const std::uint32_t status =
       is_late ? kStatusGatewayTimeout : kStatusBadGateway;
-  this->NoteEnd(*call, is_late ? RequestEnd::kTimedOut : RequestEnd::kUnknown,
-                reason);
+  this->CountOutcome(
+      *call, is_late ? RequestOutcome::kTimedOut : RequestOutcome::kUnknown,
+      reason);
   LogEvent(
       kEventOutcomeUnknown,
       {{"request", call->head.id},
@@ -116,10 +121,10 @@
        {"status", std::to_string(status)},
        {"reason", ToString(reason)},
        {"route", call->route->name},
-       {"target", call->last_target},
+       {"target", call->last_instance},
        {"attempts", std::to_string(call->attempts)},
        {"after_ms", std::to_string((BootTimeNow() - call->arrived).count)}});
-  call->exchange->Answer(status, StatusText(status), "", "");
+  call->exchange->SendAnswer(status, StatusText(status), "", "");
 }
 
 void EntryCalls::RefuseNotRun(const CallPointer& call,
@@ -130,11 +135,12 @@
     this->quotas.GiveBack(*call->account, BootTimeNow());
   }
   // A refusal at entry has a line of its own.
-  const bool is_new = !call->is_refused_at_entry;
-  this->NoteEnd(*call,
-                is_new ? RequestEnd::kNotRun : RequestEnd::kRefusedAtEntry,
-                reason);
-  if (is_new && WouldLog(kEventNotRun)) {
+  const bool was_admitted = !call->is_refused_at_entry;
+  this->CountOutcome(
+      *call,
+      was_admitted ? RequestOutcome::kNotRun : RequestOutcome::kRefusedAtEntry,
+      reason);
+  if (was_admitted && WouldLog(kEventNotRun)) {
     LogEvent(
         kEventNotRun,
         {{"request", call->head.id},
@@ -143,42 +149,45 @@
          {"service", call->service},
          {"retry_after_ms", std::to_string(wait.count)}});
   }
-  call->exchange->Answer(kStatusUnavailable, StatusText(kStatusUnavailable),
-                         RetryAfterField(wait), "");
+  call->exchange->SendAnswer(kStatusUnavailable, StatusText(kStatusUnavailable),
+                             RetryAfterField(wait), "");
 }
 
-void EntryCalls::NoteEnd(const Call& call, RequestEnd end, CallReason reason) {
-  if (call.is_left) {
+void EntryCalls::CountOutcome(const Call& call,
+                              RequestOutcome outcome,
+                              CallReason reason) {
+  if (call.is_caller_gone) {
     // It was counted when its caller left.
     return;
   }
   const LatencyMs took{PreciseNow().count - call.started.count};
-  this->counts.NoteEnd(call.route, call.is_root, end, reason, took);
+  this->counts.CountRequest(call.route, call.is_root, outcome, reason, took);
   if (call.account != nullptr) {
-    this->counts.NoteAccount(call.account->name, end);
+    this->counts.CountAccountRequest(call.account->name, outcome);
   }
 }
 
 /// What ran for a root tells the calls of its route's chain; what ran for a
 /// call is part of the run that made it.
-void EntryCalls::NoteRan(const Call& call) {
-  if (call.ran.size == 0) {
+void EntryCalls::RecordRunCounts(const Call& call) {
+  if (call.run_counts.size == 0) {
     return;
   }
   if (call.is_root) {
-    control::NoteChain(call.info.root_route, call.ran, this->admission.chains);
+    control::NoteChain(call.info.root_route, call.run_counts,
+                       this->admission.chains);
   } else {
-    this->served.AddToRun(this->ParentOf(call), call.ran);
+    this->served.AddToRun(this->ParentOf(call), call.run_counts);
   }
 }
 
 void EntryCalls::Finish(const CallPointer& call) {
   this->EndTrial(call, "undecided");
-  this->NoteRan(*call);
+  this->RecordRunCounts(*call);
   Assign(call, nullptr);
   this->calls.erase(call->id);
-  this->ends.erase({call->end.count, call->id});
-  call->exchange->on_gone = nullptr;
+  this->timeouts.erase({call->expires_at.count, call->id});
+  call->exchange->on_disconnect = nullptr;
 }
 
 void EntryCalls::Abandon(const CallPointer& call) {
@@ -186,7 +195,7 @@
     this->DetachCaller(call);
     return;
   }
-  this->NoteEnd(*call, RequestEnd::kCallerLeft, CallReason::kNone);
+  this->CountOutcome(*call, RequestOutcome::kCallerLeft, CallReason::kNone);
   if (WouldLog(kEventCallerLeft)) {
     LogEvent(
         kEventCallerLeft,
@@ -195,26 +204,27 @@
          {"route", call->route->name},
          {"after_ms", std::to_string((BootTimeNow() - call->arrived).count)}});
   }
-  this->DropAttempt(call);
-  this->NoteLeft(call);
+  this->CancelAttempt(call);
+  this->RecordAbandoned(call);
   this->Finish(call);
 }
 
 void EntryCalls::TimeOut(const CallPointer& call) {
   // A call that is out may be running: only its node could tell.
   call->may_have_run = call->may_have_run || call->peer != nullptr;
-  this->DropAttempt(call);
+  this->CancelAttempt(call);
   this->FinishFailed(call, CallReason::kTimeout);
 }
 
 void EntryCalls::Sweep(Millis now) {
   this->RetryWaiting();
   this->SweepQuotaWaiters();
-  while (!this->ends.empty() && this->ends.begin()->first <= now.count) {
-    const std::uint32_t id = this->ends.begin()->second;
+  while (!this->timeouts.empty() &&
+         this->timeouts.begin()->first <= now.count) {
+    const std::uint32_t id = this->timeouts.begin()->second;
     const auto found = this->calls.find(id);
     if (found == this->calls.end()) {
-      this->ends.erase(this->ends.begin());
+      this->timeouts.erase(this->timeouts.begin());
       continue;
     }
     this->TimeOut(CallPointer(found->second));
--- a/libs/relay/src/entry_attempts.cc
+++ b/libs/relay/src/entry_attempts.cc
@@ -14,10 +14,10 @@
 constexpr std::uint32_t kMisdirected = 421;
 constexpr std::uint32_t kServerError = 500;
 /// Sends that were turned back before the target, for one request.
-constexpr std::uint32_t kMostMoves = 4;
+constexpr std::uint32_t kMaxMoves = 4;
 /// A root request may wait this part of its latency target for a slot: longer
 /// would use up the time that its calls need.
-constexpr std::int64_t kRootWaitPart = 2;
+constexpr std::int64_t kRootWaitDivisor = 2;
 
 }  // namespace
 
@@ -32,7 +32,7 @@
 }
 
 /// Whether calls may be sent to the target beside that node.
-bool EntryCalls::IsOpen(const Peer& peer) {
+bool EntryCalls::IsTargetAvailable(const Peer& peer) {
   return peer.IsReachable() && !peer.is_suspect && !peer.told.is_stopping &&
          peer.told.state == InstanceState::kReady;
 }
@@ -40,13 +40,13 @@
 /// Where the call may go next: to a target that did not get it, while its route
 /// allows another, or to one that refused it without running.
 PeerPointer EntryCalls::NextPeer(const Call& call) {
-  if (call.reached.size() < call.route->attempts) {
+  if (call.reached_nodes.size() < call.route->attempts) {
     PeerPointer other = this->ChoosePeer(call, false);
     if (other != nullptr) {
       return other;
     }
   }
-  return call.refused_by.empty() ? nullptr : this->ChoosePeer(call, true);
+  return call.refusing_nodes.empty() ? nullptr : this->ChoosePeer(call, true);
 }
 
 PeerPointer EntryCalls::ChoosePeer(const Call& call, bool is_among_refused) {
@@ -56,9 +56,9 @@
   for (const PeerPointer& peer : members) {
     control::PlaceView view;
     view.is_own_zone = peer->told.zone == this->settings.zone.Value();
-    view.is_open = IsOpen(*peer);
+    view.is_open = IsTargetAvailable(*peer);
     const std::vector<std::string>& names =
-        is_among_refused ? call.refused_by : call.tried;
+        is_among_refused ? call.refusing_nodes : call.tried_nodes;
     const bool is_named =
         std::find(names.begin(), names.end(), peer->node.name) != names.end();
     view.is_tried = is_named != is_among_refused;
@@ -92,17 +92,17 @@
 }
 
 void EntryCalls::Attempt(const CallPointer& call) {
-  if (call->tried.empty() && !this->IsStillKnown(*call)) {
+  if (call->tried_nodes.empty() && !this->IsKeyStillValid(*call)) {
     this->Finish(call);
-    this->RefuseKey(call, kStatusUnauthorized, "revoked");
+    this->RefuseAuthentication(call, kStatusUnauthorized, "revoked");
     return;
   }
-  if (!this->PassBlame(call)) {
+  if (!this->CheckQuarantine(call)) {
     return;
   }
   const PeerPointer peer = this->NextPeer(*call);
   if (peer == nullptr) {
-    if (!this->WaitsForTarget(call)) {
+    if (!this->QueueForTarget(call)) {
       this->FinishFailed(call, CallReason::kNoInstance);
     }
     return;
@@ -110,32 +110,32 @@
   this->SendTo(call, peer);
 }
 
-bool EntryCalls::WaitsForTarget(const CallPointer& call) {
-  if (!call->tried.empty()) {
+bool EntryCalls::QueueForTarget(const CallPointer& call) {
+  if (!call->tried_nodes.empty()) {
     return false;
   }
   const Millis now = BootTimeNow();
-  if (call->waits_until == Millis{0}) {
-    const auto known = this->last_open.find(call->service);
+  if (call->target_wait_deadline == Millis{0}) {
+    const auto known = this->last_available.find(call->service);
     const Millis last =
-        known == this->last_open.end() ? this->started : known->second;
-    call->waits_until =
+        known == this->last_available.end() ? this->started_at : known->second;
+    call->target_wait_deadline =
         now + control::WaitForTarget(this->settings.decisions.wait_for_target,
                                      now - last, call->is_root,
                                      call->route->latency_target,
                                      call->deadline - now);
   }
-  if (now >= call->waits_until) {
+  if (now >= call->target_wait_deadline) {
     return false;
   }
-  this->waiting.push_back(call);
+  this->waiting_calls.push_back(call);
   return true;
 }
 
 /// Sends what waited for a target that is there now; the rest waits on or ends.
 void EntryCalls::RetryWaiting() {
   std::vector<std::weak_ptr<Call>> before;
-  before.swap(this->waiting);
+  before.swap(this->waiting_calls);
   for (const std::weak_ptr<Call>& entry : before) {
     const CallPointer call = entry.lock();
     if (call == nullptr) {
@@ -159,24 +159,24 @@
   // nobody.
   if (call->attempts + call->moves > 0) {
     this->calls.erase(call->id);
-    this->ends.erase({call->end.count, call->id});
+    this->timeouts.erase({call->expires_at.count, call->id});
     call->id = ++this->last_id;
     this->calls.emplace(call->id, call);
-    this->ends.emplace(call->end.count, call->id);
+    this->timeouts.emplace(call->expires_at.count, call->id);
   }
   Assign(call, peer);
-  call->tried.push_back(peer->node.name);
-  call->chosen_load =
+  call->tried_nodes.push_back(peer->node.name);
+  call->load_at_choice =
       peer->told.running + peer->told.waiting + peer->sent_since;
-  call->chosen_slots = peer->told.slots;
-  call->chosen_age = now - peer->told_at;
+  call->slots_at_choice = peer->told.slots;
+  call->state_age_at_choice = now - peer->told_at;
   ++peer->sent_since;
   control::NoteSent(now, peer->health);
   CallFrame frame;
   frame.id = call->id;
   frame.sent_ms = static_cast<std::uint64_t>(now.count);
   frame.left_ms = static_cast<std::uint32_t>(left.count);
-  const Millis root_wait{call->route->latency_target.count / kRootWaitPart};
+  const Millis root_wait{call->route->latency_target.count / kRootWaitDivisor};
   frame.wait_ms = static_cast<std::uint32_t>(
       call->is_root ? std::min(left, root_wait).count : left.count);
   frame.is_repeatable = call->route->is_repeatable;
@@ -192,15 +192,15 @@
   frame.target = call->head.target;
   frame.fields = call->head.fields;
   frame.body = call->body;
-  if (!call->is_counted) {
-    call->is_counted = true;
+  if (!call->is_counted_for_repeats) {
+    call->is_counted_for_repeats = true;
     control::RepeatAllowance& allowance = this->AllowanceOf(call->service);
     if (call->info.is_repeat) {
       // Made by a run that was itself a repeat: it counts as one, and not as a
       // request of its own.
-      control::NoteRepeat(this->Repeats(), now, allowance);
+      control::NoteRepeat(this->CurrentRepeatRules(), now, allowance);
     } else {
-      control::NoteRequest(this->Repeats(), now, allowance);
+      control::NoteRequest(this->CurrentRepeatRules(), now, allowance);
     }
   }
   if (peer->is_self) {
@@ -219,40 +219,40 @@
   const auto found = this->calls.find(frame.id);
   if (found == this->calls.end() || found->second->peer != peer) {
     if (frame.reason == CallReason::kTargetEnded) {
-      this->OnEndAfterLeft(peer, frame.id);
+      this->OnCrashAfterAbandon(peer, frame.id);
     }
     return;
   }
   const CallPointer call = found->second;
-  if (this->NoteOutcome(*call, peer, frame)) {
+  if (this->UpdateTargetHealth(*call, peer, frame)) {
     LogEvent(kEventTargetSetAside,
              {{"target", peer->told.instance}, {"node", peer->node.name}});
   }
   const bool is_refused = frame.outcome == CallOutcome::kRefusedByTarget &&
                           frame.status != kMisdirected;
   if (is_refused) {
-    call->refused_by.push_back(peer->node.name);
+    call->refusing_nodes.push_back(peer->node.name);
   }
   if (frame.outcome != CallOutcome::kAnswered) {
     this->OnFailedAttempt(call, frame.outcome, frame.reason);
     return;
   }
   if (!frame.has_more) {
-    this->NoteWholeRun(call);
+    this->RecordCompletion(call);
   }
-  control::AddCounts(frame.ran, call->ran);
+  control::AddCounts(frame.ran, call->run_counts);
   const bool is_error = frame.status >= kServerError;
   control::NoteError(is_error, peer->health);
   const bool may_repeat = is_error && !frame.has_more &&
                           call->route->is_repeatable &&
-                          this->MayMakeGood(*call, peer);
+                          this->CanRepeatHelp(*call, peer);
   if (may_repeat) {
     ++call->attempts;
-    call->reached.push_back(peer->node.name);
+    call->reached_nodes.push_back(peer->node.name);
     call->may_have_run = true;
     const PeerPointer next = this->NextPeer(*call);
     if (next != nullptr &&
-        this->MayRepeat(BootTimeNow(), *call, CallReason::kNone)) {
+        this->AcquireRepeat(BootTimeNow(), *call, CallReason::kNone)) {
       if (WouldLog(kEventSentAgain)) {
         LogEvent(kEventSentAgain,
                  {{"request", call->head.id},
@@ -260,34 +260,35 @@
                   {"after", "status " + std::to_string(frame.status)},
                   {"target", peer->told.instance}});
       }
-      call->kept =
-          KeptAnswer{frame.status, std::string(frame.status_text),
-                     std::string(frame.fields), std::string(frame.body)};
+      call->fallback_answer =
+          FallbackAnswer{frame.status, std::string(frame.status_text),
+                         std::string(frame.fields), std::string(frame.body)};
       this->SendTo(call, next);
       return;
     }
   }
-  this->PassAnswer(call, frame);
+  this->ForwardAnswer(call, frame);
 }
 
 /// True if the target was set aside by it.
-bool EntryCalls::NoteOutcome(const Call& call,
-                             const PeerPointer& peer,
-                             const AnswerFrame& frame) {
+bool EntryCalls::UpdateTargetHealth(const Call& call,
+                                    const PeerPointer& peer,
+                                    const AnswerFrame& frame) {
   const bool is_failure = frame.outcome == CallOutcome::kBroken ||
                           frame.reason == CallReason::kConnectFailed ||
                           frame.outcome == CallOutcome::kRefusedByTarget;
-  return control::NoteHealth(this->settings.decisions.health, BootTimeNow(),
-                             is_failure, this->FailingOfOthers(call, peer),
-                             peer->health);
+  return control::NoteHealth(
+      this->settings.decisions.health, BootTimeNow(), is_failure,
+      this->MeanFailureRateOfOthers(call, peer), peer->health);
 }
 
 /// How often the other targets of the call's service fail, on average.
-double EntryCalls::FailingOfOthers(const Call& call, const PeerPointer& peer) {
+double EntryCalls::MeanFailureRateOfOthers(const Call& call,
+                                           const PeerPointer& peer) {
   double sum = 0;
   std::uint32_t others = 0;
   for (const PeerPointer& other : this->peers.Of(call.service)) {
-    if (other != peer && IsOpen(*other)) {
+    if (other != peer && IsTargetAvailable(*other)) {
       sum += other->health.failing;
       ++others;
     }
@@ -299,7 +300,7 @@
                                  CallOutcome outcome,
                                  CallReason reason) {
   if (reason == CallReason::kTargetEnded) {
-    this->NoteTargetEnd(call, call->peer);
+    this->RecordTargetCrash(call, call->peer);
   }
   this->EndTrial(call, "undecided");
   const Millis now = BootTimeNow();
@@ -310,21 +311,21 @@
     const bool is_final =
         reason == CallReason::kDeadline || reason == CallReason::kFull;
     ++call->moves;
-    goes_on = !is_final && call->moves <= kMostMoves;
+    goes_on = !is_final && call->moves <= kMaxMoves;
     if (goes_on) {
-      this->counts.NoteMove(*call->route, reason);
+      this->counts.CountMove(*call->route, reason);
     }
   } else {
     ++call->attempts;
     if (call->peer != nullptr) {
-      call->reached.push_back(call->peer->node.name);
+      call->reached_nodes.push_back(call->peer->node.name);
     }
     const bool may_have_run = outcome == CallOutcome::kBroken;
     call->may_have_run = call->may_have_run || may_have_run;
     goes_on = (!may_have_run || call->route->is_repeatable) &&
               reason != CallReason::kTimeout &&
               this->NextPeer(*call) != nullptr &&
-              this->MayRepeat(now, *call, reason);
+              this->AcquireRepeat(now, *call, reason);
   }
   const Event& event = goes_on ? kEventSentAgain : kEventAttemptFailed;
   if (WouldLog(event)) {
@@ -335,9 +336,9 @@
               {"sent", outcome == CallOutcome::kNotSent ? "no" : "yes"},
               {"target", instance},
               {"attempts", std::to_string(call->attempts)},
-              {"load", std::to_string(call->chosen_load)},
-              {"slots", std::to_string(call->chosen_slots)},
-              {"told_age_ms", std::to_string(call->chosen_age.count)},
+              {"load", std::to_string(call->load_at_choice)},
+              {"slots", std::to_string(call->slots_at_choice)},
+              {"told_age_ms", std::to_string(call->state_age_at_choice.count)},
               {"left_ms", std::to_string((call->deadline - now).count)}});
   }
   if (goes_on) {
@@ -355,10 +356,10 @@
     }
   }
   for (const CallPointer& call : lost) {
-    if (call->is_long) {
+    if (call->is_streaming) {
       const CallerExchangePointer exchange = call->exchange;
       this->Finish(call);
-      exchange->EndLong(true);
+      exchange->EndStreamedAnswer(true);
       continue;
     }
     this->OnFailedAttempt(call, CallOutcome::kBroken, CallReason::kLinkLost);
@@ -371,7 +372,8 @@
 void EntryCalls::OnSuspect(const PeerPointer& peer) {
   std::vector<CallPointer> waiting;
   for (const auto& [id, call] : this->calls) {
-    if (call->peer == peer && !call->is_long && call->route->is_repeatable) {
+    if (call->peer == peer && !call->is_streaming &&
+        call->route->is_repeatable) {
       waiting.push_back(call);
     }
   }
@@ -382,18 +384,18 @@
 
 void EntryCalls::MoveFromSuspect(const CallPointer& call) {
   // What is tried there, or held by now, is not taken elsewhere.
-  if (call->is_on_trial || this->IsHeld(*call)) {
+  if (call->is_on_trial || this->IsQuarantined(*call)) {
     return;
   }
   // The attempt that is out is given up only for one that can be made: where
   // the other targets leave or are set aside, it may still be answered.
   ++call->attempts;
-  call->reached.push_back(call->peer->node.name);
+  call->reached_nodes.push_back(call->peer->node.name);
   const PeerPointer next = this->NextPeer(*call);
   if (next == nullptr ||
-      !this->MayRepeat(BootTimeNow(), *call, CallReason::kTimeout)) {
+      !this->AcquireRepeat(BootTimeNow(), *call, CallReason::kTimeout)) {
     --call->attempts;
-    call->reached.pop_back();
+    call->reached_nodes.pop_back();
     return;
   }
   call->may_have_run = true;
@@ -403,12 +405,12 @@
                                {"after", "node-silent"},
                                {"target", call->peer->told.instance}});
   }
-  this->DropAttempt(call);
+  this->CancelAttempt(call);
   this->SendTo(call, next);
 }
 
 /// Ends the attempt that is out, at the target too.
-void EntryCalls::DropAttempt(const CallPointer& call) {
+void EntryCalls::CancelAttempt(const CallPointer& call) {
   const PeerPointer peer = call->peer;
   if (peer == nullptr) {
     return;
--- a/libs/relay/src/entry_call.h
+++ b/libs/relay/src/entry_call.h
@@ -11,7 +11,7 @@
 
 /// A failure of a target that is passed on if a repeat brings no answer: it is
 /// worth more to the caller than a failure of ours, and no less true.
-struct KeptAnswer {
+struct FallbackAnswer {
   std::uint32_t status = 0;
   std::string status_text;
   std::string fields;
@@ -35,51 +35,51 @@
   const policy::ClientAccount* account = nullptr;
   std::string api_key;
   /// Until when it waits for a token of its account.
-  Millis quota_until;
+  Millis quota_wait_deadline;
   /// A token was taken for it, which is given back if it does not run.
   bool has_token = false;
   std::string service;
   bool is_root = true;
   /// Whether a run of the target beside this node makes it.
-  bool is_of_run = false;
+  bool has_local_parent = false;
   bool is_refused_at_entry = false;
   RunInfo info;
   Millis arrived;
   /// When the caller stops waiting, and when the route does.
   Millis deadline;
-  Millis end;
+  Millis expires_at;
   LatencyMs started;
   // The attempt that is out, if any.
   PeerPointer peer;
-  std::vector<std::string> tried;
+  std::vector<std::string> tried_nodes;
   /// Nodes whose targets got it, and those of them that refused it without
   /// running: these may be asked again.
-  std::vector<std::string> reached;
-  std::vector<std::string> refused_by;
+  std::vector<std::string> reached_nodes;
+  std::vector<std::string> refusing_nodes;
   /// Whether it was counted as a request for its service.
-  bool is_counted = false;
+  bool is_counted_for_repeats = false;
   /// Sends that a target got; sends that were turned back before it.
   std::uint32_t attempts = 0;
   std::uint32_t moves = 0;
   bool may_have_run = false;
   /// Until when it waits for its trial; 0: it never did. By what content.
-  Millis held_until;
-  control::RequestDigest held_as;
+  Millis trial_wait_deadline;
+  control::RequestDigest trial_digest;
   bool is_on_trial = false;
   /// Its caller left, and it goes on without.
-  bool is_left = false;
+  bool is_caller_gone = false;
   /// What ran for it, by the answers that came.
-  control::CallCounts ran;
+  control::CallCounts run_counts;
   /// Until when it waits for its service to have a target; 0: it never did.
-  Millis waits_until;
-  bool is_long = false;
-  std::optional<KeptAnswer> kept;
+  Millis target_wait_deadline;
+  bool is_streaming = false;
+  std::optional<FallbackAnswer> fallback_answer;
   /// Instance of the attempt that was out when the call ended.
-  std::string last_target;
+  std::string last_instance;
   /// What the target was chosen by, for the log.
-  std::uint32_t chosen_load = 0;
-  std::uint32_t chosen_slots = 0;
-  Millis chosen_age;
+  std::uint32_t load_at_choice = 0;
+  std::uint32_t slots_at_choice = 0;
+  Millis state_age_at_choice;
 };
 
 }  // namespace almondlink::relay
--- a/libs/relay/src/entry_calls.cc
+++ b/libs/relay/src/entry_calls.cc
@@ -15,7 +15,7 @@
 
 constexpr std::uint32_t kNotFound = 404;
 /// Advice when to come back while there is no policy.
-constexpr Millis kNoPolicyWait{300};
+constexpr Millis kNoPolicyRetryAfter{300};
 
 }  // namespace
 
@@ -30,36 +30,37 @@
              [this](policy::AccountKey account) {
                this->ServeQuotaWaiters(account);
              }),
-      started(BootTimeNow()),
+      started_at(BootTimeNow()),
       random(std::random_device()()),
-      blame(settings_in,
-            peers_in,
-            [this](const control::RequestDigest& digest,
-                   const std::string& node) {
-              this->OnTrialPermitted(digest, node);
-            }) {}
+      quarantine(settings_in,
+                 peers_in,
+                 [this](const control::RequestDigest& digest,
+                        const std::string& node) {
+                   this->OnTrialPermitted(digest, node);
+                 }) {}
 
 EntryCalls::~EntryCalls() = default;
 
 void EntryCalls::SetTable(policy::RouteTablePointer table_in) {
   this->table = std::move(table_in);
-  this->table_taken = BootTimeNow();
-  this->NoteSource(this->table_taken);
+  this->table_set_at = BootTimeNow();
+  this->RecordPolicyContact(this->table_set_at);
   this->part_turns.clear();
   this->quotas.SetTable(this->table);
   this->class_names.clear();
   for (const policy::Route& route : this->table->routes) {
-    this->SetClass(route, std::nullopt);
+    this->SetClassPriority(route, std::nullopt);
     for (const std::uint32_t priority : this->table->accounts.Priorities()) {
-      this->SetClass(route, priority);
+      this->SetClassPriority(route, priority);
     }
   }
 }
 
 /// The priority that requests of the route and of accounts of that priority
 /// have from now on, and their name.
-void EntryCalls::SetClass(const policy::Route& route,
-                          std::optional<std::uint32_t> account_priority) {
+void EntryCalls::SetClassPriority(
+    const policy::Route& route,
+    std::optional<std::uint32_t> account_priority) {
   const std::uint32_t key =
       policy::ClassKeyOf(route.key, account_priority).Value();
   const auto known = this->admission.routes.find(key);
@@ -113,12 +114,12 @@
 }
 
 /// The route that the request is for; answers it if there is none.
-bool EntryCalls::TakeRoute(const CallPointer& call) {
+bool EntryCalls::ResolveRoute(const CallPointer& call) {
   call->route = this->table->Find(call->head.host, call->head.target);
   const policy::RoutePart* part =
       call->route == nullptr ? nullptr : this->ChoosePart(*call->route);
   if (part == nullptr) {
-    this->NoteEnd(*call, RequestEnd::kNoRoute, CallReason::kNone);
+    this->CountOutcome(*call, RequestOutcome::kNoRoute, CallReason::kNone);
     if (WouldLog(kEventNoRoute)) {
       LogEvent(kEventNoRoute,
                {{"request", call->head.id},
@@ -127,7 +128,7 @@
                 {"path", call->head.target},
                 {"version", std::to_string(this->table->version)}});
     }
-    call->exchange->Answer(kNotFound, "Not Found", "", "");
+    call->exchange->SendAnswer(kNotFound, "Not Found", "", "");
     return false;
   }
   call->service = part->service.Value();
@@ -135,13 +136,13 @@
 }
 
 /// When it must be answered, and the chain of calls that it belongs to.
-void EntryCalls::TakeChain(const CallPointer& call) {
+void EntryCalls::SetDeadlineAndChain(const CallPointer& call) {
   const Millis waits =
       call->head.time_left_ms.has_value()
           ? std::min(Millis{*call->head.time_left_ms}, call->route->timeout)
           : call->route->timeout;
   call->deadline = call->arrived + waits;
-  call->end = call->deadline;
+  call->expires_at = call->deadline;
   const std::string_view parent = this->settings.parent_of(call->head.id);
   call->is_root = parent.empty();
   call->info.root_route = call->route->key.Value();
@@ -152,7 +153,7 @@
     return;
   }
   const std::optional<RunInfo> run = this->served.FindRun(std::string(parent));
-  call->is_of_run = run.has_value();
+  call->has_local_parent = run.has_value();
   if (run.has_value()) {
     this->served.NoteCallOfRun();
     call->info = *run;
@@ -163,15 +164,15 @@
 }
 
 /// From now on it ends when its time is over or its caller leaves.
-void EntryCalls::Open(const CallPointer& call) {
+void EntryCalls::Register(const CallPointer& call) {
   if (call->id != 0) {
     return;
   }
   call->id = ++this->last_id;
   this->calls.emplace(call->id, call);
-  this->ends.emplace(call->end.count, call->id);
+  this->timeouts.emplace(call->expires_at.count, call->id);
   const std::weak_ptr<Call> weak = call;
-  call->exchange->on_gone = [this, weak]() {
+  call->exchange->on_disconnect = [this, weak]() {
     if (const CallPointer open = weak.lock()) {
       this->Abandon(open);
     }
@@ -189,14 +190,14 @@
   call->started = PreciseNow();
   call->table = this->table;
   if (this->table == nullptr) {
-    this->RefuseNotRun(call, CallReason::kNone, kNoPolicyWait);
+    this->RefuseNotRun(call, CallReason::kNone, kNoPolicyRetryAfter);
     return;
   }
-  if (!this->TakeRoute(call)) {
+  if (!this->ResolveRoute(call)) {
     return;
   }
-  this->TakeChain(call);
-  if (this->Identify(call) && this->TakeQuota(call)) {
+  this->SetDeadlineAndChain(call);
+  if (this->Authenticate(call) && this->AcquireQuota(call)) {
     this->Admit(call);
   }
 }
@@ -206,7 +207,7 @@
   if (call->is_root && !this->AdmitRoot(call)) {
     return;
   }
-  this->Open(call);
+  this->Register(call);
   this->Attempt(call);
 }
 
--- a/libs/relay/src/entry_blame.cc
+++ b/libs/relay/src/entry_quarantine.cc
@@ -20,10 +20,10 @@
 /// A request waits for its trial, or for that of the same request sent by
 /// somebody else, for its latency target; for an ask and one short run at
 /// least.
-constexpr Millis kLeastTrialWait{200};
+constexpr Millis kMinTrialWait{200};
 /// Calls whose callers left are remembered for so long, and so many of them.
-constexpr Millis kLeftLately{1000};
-constexpr std::size_t kMostLeft = 128;
+constexpr Millis kAbandonedRetention{1000};
+constexpr std::size_t kMaxAbandoned = 128;
 
 }  // namespace
 
@@ -44,27 +44,27 @@
 
 /// Whether anything may be known of the request; costs next to nothing where
 /// no target has ended lately.
-bool EntryCalls::MayBeBlamed(const Call& call) const {
-  return !this->blame.IsEmpty() &&
-         !this->blame.IsBlank(PathHashOf(call.head.target));
+bool EntryCalls::MayBeQuarantined(const Call& call) const {
+  return !this->quarantine.IsEmpty() &&
+         !this->quarantine.IsBlank(PathHashOf(call.head.target));
 }
 
 /// Whether the request runs on trial only, or not at all.
-bool EntryCalls::IsHeld(const Call& call) const {
-  return this->MayBeBlamed(call) &&
-         this->blame.Judge(this->DigestOf(call), BootTimeNow()).step !=
+bool EntryCalls::IsQuarantined(const Call& call) const {
+  return this->MayBeQuarantined(call) &&
+         this->quarantine.Judge(this->DigestOf(call), BootTimeNow()).step !=
              control::BlameStep::kGo;
 }
 
-void EntryCalls::NoteTargetEnd(const CallPointer& call,
-                               const PeerPointer& peer) {
+void EntryCalls::RecordTargetCrash(const CallPointer& call,
+                                   const PeerPointer& peer) {
   const StateFrame& target = peer->told;
   const Millis now = BootTimeNow();
   const control::RequestDigest digest = this->DigestOf(*call);
   const control::TargetEnd end{StableHash(target.instance, target.born),
                                call->is_on_trial};
-  const bool is_new = this->blame.NoteTargetEnd(digest, end, now);
-  const control::BlameRecord* record = this->blame.Find(digest);
+  const bool is_new = this->quarantine.NoteTargetEnd(digest, end, now);
+  const control::BlameRecord* record = this->quarantine.Find(digest);
   if (is_new && record != nullptr && WouldLog(kEventUnderWayAtEnd)) {
     LogEvent(kEventUnderWayAtEnd,
              {{"digest", control::ToString(digest)},
@@ -80,87 +80,92 @@
   this->EndTrial(call, "target-ended");
 }
 
-void EntryCalls::NoteLeft(const CallPointer& call) {
+void EntryCalls::RecordAbandoned(const CallPointer& call) {
   const Millis now = BootTimeNow();
-  while (!this->left.empty() && (this->left.size() >= kMostLeft ||
-                                 now - this->left.front().at > kLeftLately)) {
-    this->left.pop_front();
+  while (!this->abandoned.empty() &&
+         (this->abandoned.size() >= kMaxAbandoned ||
+          now - this->abandoned.front().abandoned_at > kAbandonedRetention)) {
+    this->abandoned.pop_front();
   }
   if (call->peer != nullptr) {
-    this->left.push_back({call, call->peer, now});
+    this->abandoned.push_back({call, call->peer, now});
   }
 }
 
-void EntryCalls::OnEndAfterLeft(const PeerPointer& peer, std::uint32_t id) {
-  const auto known = std::find_if(
-      this->left.begin(), this->left.end(), [&peer, id](const LeftCall& left) {
-        return left.peer == peer && left.call->id == id;
-      });
-  if (known != this->left.end()) {
-    this->NoteTargetEnd(known->call, peer);
-    this->left.erase(known);
+void EntryCalls::OnCrashAfterAbandon(const PeerPointer& peer,
+                                     std::uint32_t id) {
+  const auto known =
+      std::find_if(this->abandoned.begin(), this->abandoned.end(),
+                   [&peer, id](const AbandonedCall& left) {
+                     return left.peer == peer && left.call->id == id;
+                   });
+  if (known != this->abandoned.end()) {
+    this->RecordTargetCrash(known->call, peer);
+    this->abandoned.erase(known);
   }
 }
 
-void EntryCalls::NoteWholeRun(const CallPointer& call) {
-  if (this->MayBeBlamed(*call)) {
-    this->blame.NoteWholeRun(this->DigestOf(*call));
+void EntryCalls::RecordCompletion(const CallPointer& call) {
+  if (this->MayBeQuarantined(*call)) {
+    this->quarantine.NoteWholeRun(this->DigestOf(*call));
   }
   this->EndTrial(call, "whole");
 }
 
-bool EntryCalls::HasOpenTarget(const std::string& service) {
+bool EntryCalls::HasAvailableTarget(const std::string& service) {
   const std::vector<PeerPointer>& members = this->peers.Of(service);
-  return std::any_of(members.begin(), members.end(),
-                     [](const PeerPointer& peer) { return IsOpen(*peer); });
+  return std::any_of(
+      members.begin(), members.end(),
+      [](const PeerPointer& peer) { return IsTargetAvailable(*peer); });
 }
 
 /// Whether the call may be sent as any other; if not it waits for its trial, or
 /// was answered.
-bool EntryCalls::PassBlame(const CallPointer& call) {
-  if (!this->MayBeBlamed(*call)) {
+bool EntryCalls::CheckQuarantine(const CallPointer& call) {
+  if (!this->MayBeQuarantined(*call)) {
     return true;
   }
   const Millis now = BootTimeNow();
   const control::RequestDigest digest = this->DigestOf(*call);
-  const control::BlameVerdict verdict = this->blame.Judge(digest, now);
+  const control::BlameVerdict verdict = this->quarantine.Judge(digest, now);
   if (verdict.step == control::BlameStep::kGo) {
     return true;
   }
   if (verdict.step == control::BlameStep::kTry &&
-      !this->HasOpenTarget(call->service)) {
+      !this->HasAvailableTarget(call->service)) {
     // It waits for a target as any other.
-    if (!this->WaitsForTarget(call)) {
+    if (!this->QueueForTarget(call)) {
       this->FinishFailed(call, CallReason::kNoInstance);
     }
     return false;
   }
-  if (call->held_until == Millis{0}) {
-    call->held_until =
-        now + std::max(call->route->latency_target, kLeastTrialWait);
+  if (call->trial_wait_deadline == Millis{0}) {
+    call->trial_wait_deadline =
+        now + std::max(call->route->latency_target, kMinTrialWait);
   }
-  if (verdict.step == control::BlameStep::kRefuse || now >= call->held_until) {
-    this->RefuseBlamed(call, digest, verdict.wait);
+  if (verdict.step == control::BlameStep::kRefuse ||
+      now >= call->trial_wait_deadline) {
+    this->RefuseQuarantined(call, digest, verdict.wait);
     return false;
   }
-  call->held_as = digest;
+  call->trial_digest = digest;
   if (call->peer != nullptr) {
     // What becomes of that node from now on does not concern the call.
-    call->last_target = call->peer->told.instance;
+    call->last_instance = call->peer->told.instance;
     Assign(call, nullptr);
   }
-  this->waiting.push_back(call);
-  this->blame.AskTrial(digest, call->service, call->deadline - now, now);
+  this->waiting_calls.push_back(call);
+  this->quarantine.AskTrial(digest, call->service, call->deadline - now, now);
   return false;
 }
 
 /// It goes no further. `wait`: until it may be tried again; 0: it waited for a
 /// trial in vain.
-void EntryCalls::RefuseBlamed(const CallPointer& call,
-                              const control::RequestDigest& digest,
-                              Millis wait) {
+void EntryCalls::RefuseQuarantined(const CallPointer& call,
+                                   const control::RequestDigest& digest,
+                                   Millis wait) {
   ++this->trials.refused;
-  const control::BlameRecord* record = this->blame.Find(digest);
+  const control::BlameRecord* record = this->quarantine.Find(digest);
   if (record != nullptr && WouldLog(kEventRefusedForEnds)) {
     LogEvent(
         kEventRefusedForEnds,
@@ -187,35 +192,35 @@
 void EntryCalls::OnTrialPermitted(const control::RequestDigest& digest,
                                   const std::string& node) {
   const std::vector<PeerPointer>& all = this->peers.All();
-  const auto place = std::find_if(
+  const auto permitted = std::find_if(
       all.begin(), all.end(),
       [&node](const PeerPointer& peer) { return peer->node.name == node; });
-  if (place == all.end()) {
+  if (permitted == all.end()) {
     // Permitted by a node that knows more: its permit runs out.
     return;
   }
-  const std::string& service = (*place)->told.service;
-  const auto held = std::find_if(
-      this->waiting.begin(), this->waiting.end(),
+  const std::string& service = (*permitted)->told.service;
+  const auto waiter = std::find_if(
+      this->waiting_calls.begin(), this->waiting_calls.end(),
       [this, &digest, &service](const std::weak_ptr<Call>& entry) {
         const CallPointer call = entry.lock();
-        return call != nullptr && call->held_as == digest &&
+        return call != nullptr && call->trial_digest == digest &&
                call->service == service && this->calls.count(call->id) != 0;
       });
-  if (held == this->waiting.end() || !IsOpen(**place)) {
-    this->blame.EndTrial(digest, service);
+  if (waiter == this->waiting_calls.end() || !IsTargetAvailable(**permitted)) {
+    this->quarantine.EndTrial(digest, service);
     return;
   }
-  const CallPointer call = held->lock();
-  this->waiting.erase(held);
+  const CallPointer call = waiter->lock();
+  this->waiting_calls.erase(waiter);
   call->is_on_trial = true;
   ++this->trials.begun;
   LogEvent(kEventTrialBegun, {{"digest", control::ToString(digest)},
                               {"request", call->head.id},
                               {"route", call->route->name},
-                              {"target", (*place)->told.instance},
+                              {"target", (*permitted)->told.instance},
                               {"node", node}});
-  this->SendTo(call, *place);
+  this->SendTo(call, *permitted);
 }
 
 /// The call is on trial no more, if it was.
@@ -224,19 +229,19 @@
     return;
   }
   call->is_on_trial = false;
-  ++this->trials.ended[outcome];
-  const control::RequestDigest digest = call->held_as;
+  ++this->trials.by_outcome[outcome];
+  const control::RequestDigest digest = call->trial_digest;
   LogEvent(kEventTrialOver, {{"digest", control::ToString(digest)},
                              {"request", call->head.id},
                              {"outcome", outcome}});
-  this->blame.EndTrial(digest, call->service);
+  this->quarantine.EndTrial(digest, call->service);
 }
 
 /// The caller of a trial has left. The run goes on to its end: cut short, it
 /// would tell nothing, and the next one would have to be tried.
 void EntryCalls::DetachCaller(const CallPointer& call) {
-  this->NoteEnd(*call, RequestEnd::kCallerLeft, CallReason::kNone);
-  call->is_left = true;
+  this->CountOutcome(*call, RequestOutcome::kCallerLeft, CallReason::kNone);
+  call->is_caller_gone = true;
   call->exchange =
       std::make_shared<CallerExchange>(std::weak_ptr<CallerSession>());
 }
--- a/libs/relay/src/entry_repeats.cc
+++ b/libs/relay/src/entry_repeats.cc
@@ -11,73 +11,76 @@
 namespace {
 
 /// Calls for each run above which a service counts as one that makes calls.
-constexpr double kMakesCalls = 0.5;
+constexpr double kMinCallsPerRun = 0.5;
 /// Part of their answers that are failures above which targets fail for a
 /// reason that they share; single failures are far rarer.
-constexpr double kOftenErring = 0.1;
+constexpr double kSharedErrorRate = 0.1;
 /// Time left below which a request is not sent once more.
-constexpr Millis kLeastForRepeat{30};
+constexpr Millis kMinTimeForRepeat{30};
 
 }  // namespace
 
-control::RepeatRules EntryCalls::Repeats() const {
+control::RepeatRules EntryCalls::CurrentRepeatRules() const {
   control::RepeatRules rules = this->settings.repeats;
   rules.nodes = std::max<std::uint32_t>(
       1, static_cast<std::uint32_t>(this->peers.All().size()));
-  rules.is_fresh =
-      !this->has_memory && BootTimeNow() - this->started < rules.window;
+  rules.is_fresh = !this->has_restored_counts &&
+                   BootTimeNow() - this->started_at < rules.window;
   return rules;
 }
 
 control::RepeatAllowance& EntryCalls::AllowanceOf(const std::string& service) {
   control::RepeatAllowance& allowance = this->allowances[service];
-  const auto told = this->remembered.find(ServiceKeyOf(service));
-  if (told != this->remembered.end()) {
-    control::Remember(this->Repeats(), BootTimeNow(), told->second, allowance);
-    this->remembered.erase(told);
+  const auto restored = this->restored_counts.find(ServiceKeyOf(service));
+  if (restored != this->restored_counts.end()) {
+    control::Remember(this->CurrentRepeatRules(), BootTimeNow(),
+                      restored->second, allowance);
+    this->restored_counts.erase(restored);
   }
   return allowance;
 }
 
-void EntryCalls::TakeMemory(const std::vector<ServiceRepeats>& told) {
-  if (BootTimeNow() - this->started >= this->settings.repeats.window) {
+void EntryCalls::RestoreRepeatCounts(
+    const std::vector<ServiceRepeats>& reported) {
+  if (BootTimeNow() - this->started_at >= this->settings.repeats.window) {
     return;
   }
-  this->has_memory = true;
-  for (const ServiceRepeats& entry : told) {
-    this->remembered[entry.service] = entry.counts;
+  this->has_restored_counts = true;
+  for (const ServiceRepeats& entry : reported) {
+    this->restored_counts[entry.service] = entry.counts;
   }
 }
 
-std::map<std::string, control::RepeatRoom> EntryCalls::RepeatRooms(Millis now) {
-  const control::RepeatRules rules = this->Repeats();
-  std::map<std::string, control::RepeatRoom> rooms;
+std::map<std::string, control::RepeatRoom> EntryCalls::RepeatCapacities(
+    Millis now) {
+  const control::RepeatRules rules = this->CurrentRepeatRules();
+  std::map<std::string, control::RepeatRoom> capacities;
   for (auto& [service, allowance] : this->allowances) {
-    rooms[service] = control::RoomForRepeats(rules, now, allowance);
+    capacities[service] = control::RoomForRepeats(rules, now, allowance);
   }
-  return rooms;
+  return capacities;
 }
 
-std::vector<ServiceRepeats> EntryCalls::OwnRepeats(Millis now) {
-  const control::RepeatRules rules = this->Repeats();
-  std::vector<ServiceRepeats> told;
+std::vector<ServiceRepeats> EntryCalls::OwnRepeatCounts(Millis now) {
+  const control::RepeatRules rules = this->CurrentRepeatRules();
+  std::vector<ServiceRepeats> own;
   for (auto& [service, allowance] : this->allowances) {
     const control::RepeatCounts counts =
         control::CountsOf(rules, now, allowance);
     if (counts.repeats > 0) {
-      told.push_back({ServiceKeyOf(service), counts});
+      own.push_back({ServiceKeyOf(service), counts});
     }
   }
-  return told;
+  return own;
 }
 
 /// Sums over the nodes that repeat requests of the service. Those that do not
 /// tell nothing: without their requests the bound is lower than it might be.
-control::RepeatCounts EntryCalls::SharedCounts(Millis now,
-                                               const std::string& service) {
+control::RepeatCounts EntryCalls::SumRepeatCounts(Millis now,
+                                                  const std::string& service) {
   const std::uint32_t key = ServiceKeyOf(service);
-  control::RepeatCounts sums =
-      control::CountsOf(this->Repeats(), now, this->AllowanceOf(service));
+  control::RepeatCounts sums = control::CountsOf(
+      this->CurrentRepeatRules(), now, this->AllowanceOf(service));
   for (const PeerPointer& peer : this->peers.All()) {
     if (peer->is_self || !peer->IsReachable()) {
       continue;
@@ -98,19 +101,19 @@
 /// makes calls fails with them: where the other targets of its service fail as
 /// well, something below them does, and another run would take its repeats from
 /// the requests that can still be made whole.
-bool EntryCalls::MayMakeGood(const Call& call, const PeerPointer& peer) {
-  if (this->CallsPerRun(call.service) < kMakesCalls) {
+bool EntryCalls::CanRepeatHelp(const Call& call, const PeerPointer& peer) {
+  if (this->CallsPerRun(call.service) < kMinCallsPerRun) {
     return true;
   }
   double sum = 0;
   std::uint32_t others = 0;
   for (const PeerPointer& other : this->peers.Of(call.service)) {
-    if (other != peer && IsOpen(*other)) {
+    if (other != peer && IsTargetAvailable(*other)) {
       sum += other->health.erring;
       ++others;
     }
   }
-  return others == 0 || sum / others < kOftenErring;
+  return others == 0 || sum / others < kSharedErrorRate;
 }
 
 /// Calls that a run of the service makes, at the target that makes most.
@@ -122,14 +125,14 @@
   return calls;
 }
 
-bool EntryCalls::MayRepeat(Millis now, const Call& call, CallReason after) {
+bool EntryCalls::AcquireRepeat(Millis now, const Call& call, CallReason after) {
   if (call.attempts >= this->settings.decisions.repeat_sends ||
-      call.deadline - now < kLeastForRepeat) {
+      call.deadline - now < kMinTimeForRepeat) {
     return false;
   }
   // A run that makes calls repeats them too, so it takes so much less of the
   // bound that the sum over all services of a chain stays within it.
-  control::RepeatRules rules = this->Repeats();
+  control::RepeatRules rules = this->CurrentRepeatRules();
   rules.used_part /= 1 + this->CallsPerRun(call.service);
   const auto calls =
       this->admission.calls_seen.find({call.service, call.info.root_route});
@@ -140,13 +143,14 @@
   want.done = this->served.RanForRun(this->ParentOf(call), call.service);
   want.root_hash = call.info.root_hash;
   const double place = control::RepeatPlace(want);
-  if (!control::HasSharedRoom(rules, this->SharedCounts(now, call.service)) ||
+  if (!control::HasSharedRoom(rules,
+                              this->SumRepeatCounts(now, call.service)) ||
       !control::TakeRepeat(rules, place, now,
                            this->AllowanceOf(call.service))) {
     ++this->repeats_denied[call.service];
     return false;
   }
-  this->counts.NoteRepeat(*call.route, after);
+  this->counts.CountRepeat(*call.route, after);
   return true;
 }
 
--- a/libs/relay/src/frame_dispatch.cc
+++ b/libs/relay/src/frame_dispatch.cc
@@ -61,7 +61,7 @@
 /// What other nodes know of requests that targets ended under, and ask for.
 bool RelayNode::OnBlameFrame(const PeerLinkPointer& link,
                              const RawFrame& frame) {
-  BlameExchange& blame = this->entry.Blame();
+  BlameExchange& blame = this->entry.Quarantine();
   BlameFrame news;
   TrialAskFrame ask;
   TrialOverFrame over;
@@ -109,7 +109,7 @@
       if (!Decode(frame.payload, answer)) {
         return false;
       }
-      this->entry.Blame().OnPermitted(answer);
+      this->entry.Quarantine().OnPermitted(answer);
       return true;
     }
     default:
--- a/libs/relay/src/http_parser.cc
+++ b/libs/relay/src/http_parser.cc
@@ -31,7 +31,7 @@
 }
 
 /// Seconds in `timeout=N` of a Keep-Alive field; 0 if not there.
-std::uint32_t TimeoutOf(StringView value) {
+std::uint32_t KeepAliveTimeout(StringView value) {
   const std::size_t at = value.find("timeout=");
   if (at == StringView::npos) {
     return 0;
@@ -66,22 +66,22 @@
 }  // namespace
 
 template <bool IsRequest>
-ParseStep HttpParser<IsRequest>::Feed(std::string& input) {
+ParseStatus HttpParser<IsRequest>::Feed(std::string& input) {
   std::size_t used = 0;
-  ParseStep step = ParseStep::kNeedMore;
+  ParseStatus step = ParseStatus::kNeedMore;
   while (used < input.size()) {
     error_code error;
     used += this->put(
         boost::asio::buffer(input.data() + used, input.size() - used), error);
     if (this->is_done()) {
-      step = ParseStep::kDone;
+      step = ParseStatus::kDone;
       break;
     }
     if (error == http::error::need_more) {
       break;
     }
     if (error) {
-      step = ParseStep::kBad;
+      step = ParseStatus::kMalformed;
       break;
     }
   }
@@ -90,7 +90,7 @@
 }
 
 template <bool IsRequest>
-bool HttpParser<IsRequest>::FinishAtEnd() {
+bool HttpParser<IsRequest>::FinishAtEof() {
   if (!this->is_header_done()) {
     return false;
   }
@@ -255,7 +255,7 @@
                                  string_view value,
                                  error_code& /*error*/) {
   if (name == http::field::keep_alive) {
-    this->head.keep_alive_s = TimeoutOf(value);
+    this->head.keep_alive_s = KeepAliveTimeout(value);
   } else if (name == http::field::content_encoding) {
     this->head.is_encoded = !iequals(value, "identity");
   } else if (name == http::field::unknown) {
--- a/libs/relay/src/node_metrics.cc
+++ b/libs/relay/src/node_metrics.cc
@@ -63,7 +63,7 @@
   out.Begin("trials_total", "counter",
             "Trials of such requests, by what came of them; whole: it was held "
             "wrongly.");
-  for (const auto& [outcome, count] : trials.ended) {
+  for (const auto& [outcome, count] : trials.by_outcome) {
     out.Add(MetricLabel("outcome", outcome), static_cast<double>(count));
   }
   out.AddSingle("refused_for_ends_total", "counter",
@@ -102,10 +102,11 @@
 void RelayNode::WriteMetrics(MetricText& out) {
   const Millis now = BootTimeNow();
   this->entry.Counts().Write(out);
-  WriteRepeats(this->entry.RepeatRooms(now), this->entry.RepeatsDenied(), out);
+  WriteRepeats(this->entry.RepeatCapacities(now), this->entry.RepeatsDenied(),
+               out);
   out.Begin("refused_for_total", "counter",
             "Root requests refused at entry, by the service without room.");
-  for (const auto& [service, count] : this->entry.RefusedFor()) {
+  for (const auto& [service, count] : this->entry.RefusalsByService()) {
     out.Add(MetricLabel("service", service), static_cast<double>(count));
   }
   out.Begin("short_slot_seconds_total", "counter",
@@ -119,7 +120,7 @@
   this->WriteChains(out);
   WriteTarget(this->served, out);
   WritePeers(this->peers, out);
-  WriteBlame(this->entry, this->entry.Blame().Table(), out);
+  WriteBlame(this->entry, this->entry.Quarantine().Table(), out);
   out.AddSingle("follows_policy_source", "gauge",
                 "1: this node reads the policy's source for others.",
                 this->FollowsSource() ? 1 : 0);
--- a/libs/relay/src/relay_node.cc
+++ b/libs/relay/src/relay_node.cc
@@ -57,7 +57,8 @@
       tick_timer(loop_in) {
   this->served.SetTargetAddress(this->settings.target_address);
   this->served.SetUsablePart(this->settings.decisions.usable_slots);
-  this->entry.Blame().OnProof(this->hooks.on_guilty, this->hooks.on_cleared);
+  this->entry.Quarantine().OnProof(this->hooks.on_guilty,
+                                   this->hooks.on_cleared);
 }
 
 RelayNode::~RelayNode() = default;
@@ -100,7 +101,7 @@
     this->RunAcks(BootTimeNow(), report);
   };
   events.on_memory = [this](const std::vector<ServiceRepeats>& told) {
-    this->entry.TakeMemory(told);
+    this->entry.RestoreRepeatCounts(told);
   };
   events.on_incarnation = [this](std::uint64_t incarnation) {
     LogEvent(kEventRenumbered, {{"incarnation", std::to_string(incarnation)}});
@@ -199,7 +200,7 @@
   state.demand = control::DemandOf(this->served.Meter());
   state.calls_per_run = this->served.CallsPerRun();
   state.roots = control::OwnRates(this->entry.Admission());
-  state.repeats = this->entry.OwnRepeats(BootTimeNow());
+  state.repeats = this->entry.OwnRepeatCounts(BootTimeNow());
   state.has_source = this->has_source && !this->is_stopping;
   state.erring = this->served.Erring();
   return state;
@@ -314,7 +315,7 @@
 }
 
 void RelayNode::OnState(const PeerPointer& peer) {
-  this->entry.Blame().OnPeer(peer);
+  this->entry.Quarantine().OnPeer(peer);
   LogEvent(kEventPeerSeen,
            {{"peer", peer->node.name},
             {"service", peer->told.service},
@@ -357,7 +358,7 @@
     this->peers.Tick(now);
     this->entry.UpdateAdmission(now);
     this->entry.Quotas().Tick(now);
-    this->entry.Blame().Tick(now);
+    this->entry.Quarantine().Tick(now);
     this->NoteSlotTime();
     FlushLog();
   }
@@ -372,7 +373,7 @@
 void RelayNode::NoteSlotTime() {
   constexpr double kSeconds = 0.001 * kTick.count() * kPeerTicks;
   const control::InstanceLedger& ledger = this->served.Ledger();
-  if (this->entry.IsShort(ledger.current.service)) {
+  if (this->entry.IsBottleneck(ledger.current.service)) {
     this->short_there_s += kSeconds * control::UsableSlots(ledger);
     this->short_used_s += kSeconds * this->served.Running();
   }
@@ -402,7 +403,7 @@
     this->callers.CloseIdle();
   }
   const bool is_idle = this->entry.OpenCalls() == 0 &&
-                       this->callers.Busy() == 0 &&
+                       this->callers.BusyConnectionCount() == 0 &&
                        this->served.Running() + this->served.Waiting() == 0;
   const bool is_forced = since >= this->settings.grace - kLastAnswers;
   if ((since >= kCallersLeave && is_idle) || is_forced) {
--- a/libs/relay/src/request_counts.cc
+++ b/libs/relay/src/request_counts.cc
@@ -9,35 +9,36 @@
 /// Routes that are told apart: the product is made for some hundred. What is
 /// beyond counts as one route, so that a growing policy cannot grow the memory
 /// of a node without end.
-constexpr std::size_t kMostRoutes = 256;
+constexpr std::size_t kMaxRoutes = 256;
 /// Keys of requests without a route, and of routes beyond the limit; no route
 /// has them, as keys are hashes and 0 means none.
 constexpr std::uint32_t kNoRouteKey = 0;
 constexpr std::uint32_t kOtherRoutesKey = 1;
 /// Client accounts that are told apart in metrics; those that come later count
 /// as one.
-constexpr std::size_t kMostAccounts = 256;
+constexpr std::size_t kMaxAccounts = 256;
 
 }  // namespace
 
-const char* ToString(RequestEnd end) {
+const char* ToString(RequestOutcome outcome) {
   static constexpr std::array<const char*, 10> kNames = {
       "served",      "failed_by_target", "refused_at_entry", "not_run",
       "timed_out",   "unknown",          "no_route",         "caller_left",
       "unknown_key", "over_quota"};
-  return kNames[static_cast<std::size_t>(end)];
+  return kNames[static_cast<std::size_t>(outcome)];
 }
 
-RequestCounts::RouteCounts& RequestCounts::Of(const policy::Route* route) {
+RequestCounts::RouteCounts& RequestCounts::CountsFor(
+    const policy::Route* route) {
   std::uint32_t key = route == nullptr ? kNoRouteKey : route->key.Value();
   const auto known = this->routes.find(key);
   if (known != this->routes.end()) {
     return known->second;
   }
-  const bool is_beyond = this->routes.size() >= kMostRoutes;
-  key = is_beyond ? kOtherRoutesKey : key;
+  const bool is_over_limit = this->routes.size() >= kMaxRoutes;
+  key = is_over_limit ? kOtherRoutesKey : key;
   RouteCounts& fresh = this->routes[key];
-  if (is_beyond) {
+  if (is_over_limit) {
     fresh.name = "others";
   } else if (route != nullptr) {
     fresh.name = route->name;
@@ -46,28 +47,29 @@
   return fresh;
 }
 
-void RequestCounts::NoteEnd(const policy::Route* route,
-                            bool is_root,
-                            RequestEnd end,
-                            CallReason reason,
-                            LatencyMs took) {
-  RouteCounts& counts = this->Of(route);
-  ++(is_root ? counts.roots : counts.calls)[{end, reason}];
-  counts.took.Add(took);
+void RequestCounts::CountRequest(const policy::Route* route,
+                                 bool is_root,
+                                 RequestOutcome outcome,
+                                 CallReason reason,
+                                 LatencyMs latency) {
+  RouteCounts& counts = this->CountsFor(route);
+  ++(is_root ? counts.roots : counts.calls)[{outcome, reason}];
+  counts.latency.Add(latency);
 }
 
-void RequestCounts::NoteAccount(const std::string& account, RequestEnd end) {
-  const bool is_told_apart = this->accounts.size() < kMostAccounts ||
-                             this->accounts.count(account) > 0;
-  ++this->accounts[is_told_apart ? account : "others"][end];
+void RequestCounts::CountAccountRequest(const std::string& account,
+                                        RequestOutcome outcome) {
+  const bool has_own_series =
+      this->accounts.size() < kMaxAccounts || this->accounts.count(account) > 0;
+  ++this->accounts[has_own_series ? account : "others"][outcome];
 }
 
-void RequestCounts::NoteRepeat(const policy::Route& route, CallReason after) {
-  ++this->Of(&route).repeats[after];
+void RequestCounts::CountRepeat(const policy::Route& route, CallReason after) {
+  ++this->CountsFor(&route).repeats[after];
 }
 
-void RequestCounts::NoteMove(const policy::Route& route, CallReason after) {
-  ++this->Of(&route).moves[after];
+void RequestCounts::CountMove(const policy::Route& route, CallReason after) {
+  ++this->CountsFor(&route).moves[after];
 }
 
 void RequestCounts::Write(MetricText& out) const {
@@ -105,20 +107,20 @@
               &RouteCounts::moves);
   out.Begin("account_requests_total", "counter",
             "Root requests of client accounts that ended, by how.");
-  for (const auto& [account, ends] : this->accounts) {
-    for (const auto& [end, count] : ends) {
+  for (const auto& [account, outcomes] : this->accounts) {
+    for (const auto& [outcome, count] : outcomes) {
       out.Add(MetricLabel("account", account) + "," +
-                  MetricLabel("outcome", ToString(end)),
+                  MetricLabel("outcome", ToString(outcome)),
               static_cast<double>(count));
     }
   }
   out.Begin("request_ms", "histogram", "Time from a request to its end.");
   for (const auto& [key, counts] : this->routes) {
-    out.AddHistogram(MetricLabel("route", counts.name), counts.took);
+    out.AddHistogram(MetricLabel("route", counts.name), counts.latency);
   }
   out.Begin("added_ms", "histogram",
             "Time of an answered request that was not its target's.");
-  out.AddHistogram("", this->added);
+  out.AddHistogram("", this->added_latency);
 }
 
 }  // namespace almondlink::relay
--- a/libs/relay/src/target_connection.cc
+++ b/libs/relay/src/target_connection.cc
@@ -19,7 +19,7 @@
 constexpr std::size_t kStreamWindow = 256 * 1024;
 constexpr Millis kConnectTimeout{1000};
 /// A connection to the same host that acknowledges nothing for so long is gone.
-constexpr Millis kSilence{1000};
+constexpr Millis kAckTimeout{1000};
 /// Idle time if the target states none, and the part of a stated one that is
 /// used: the target must not close while a request is on its way.
 constexpr Millis kIdleDefault{3000};
@@ -55,7 +55,7 @@
       self->Fail(CallReason::kConnectFailed);
       return;
     }
-    PrepareSocket(self->socket, kSilence);
+    PrepareSocket(self->socket, kAckTimeout);
     self->Use(std::move(self->request), std::move(self->events));
   });
 }
@@ -139,7 +139,7 @@
   }
   if (error) {
     const bool is_proper_end = error == boost::asio::error::eof &&
-                               this->parser->FinishAtEnd() &&
+                               this->parser->FinishAtEof() &&
                                this->IsOfThisRequest();
     if (is_proper_end) {
       this->Deliver(true);
@@ -154,12 +154,12 @@
 
 void TargetConnection::Parse() {
   while (this->is_busy) {
-    const ParseStep step = this->parser->Feed(this->input);
-    if (step == ParseStep::kBad) {
+    const ParseStatus step = this->parser->Feed(this->input);
+    if (step == ParseStatus::kMalformed) {
       this->Fail(CallReason::kBadAnswer);
       return;
     }
-    const bool is_complete = step == ParseStep::kDone;
+    const bool is_complete = step == ParseStatus::kDone;
     const bool is_interim =
         is_complete && this->parser->head.status < kFirstSuccess;
     const bool is_strange = is_complete && !is_interim && !this->is_streaming &&
--- a/libs/relay/tests/bearer_key_test.cc
+++ b/libs/relay/tests/bearer_key_test.cc
@@ -13,7 +13,7 @@
   RequestParser parser(names);
   std::string text =
       "GET /a HTTP/1.1\r\nHost: h\r\nX-Id: 1\r\n" + fields + "\r\n";
-  REQUIRE(parser.Feed(text) == ParseStep::kDone);
+  REQUIRE(parser.Feed(text) == ParseStatus::kDone);
   return parser.head;
 }
 
@@ -27,26 +27,29 @@
     const BearerKey key =
         KeyOf(std::string("Authorization: ") + value + "\r\n");
     CAPTURE(value);
-    REQUIRE(key.form == KeyForm::kKey);
+    REQUIRE(key.status == BearerKeyStatus::kPresent);
     REQUIRE(key.key == "k-1");
   }
 }
 
 TEST_CASE("none, another scheme and malformed ones are told apart") {
-  REQUIRE(KeyOf("").form == KeyForm::kAbsent);
-  REQUIRE(KeyOf("Authorization: Basic abc\r\n").form == KeyForm::kAbsent);
-  REQUIRE(KeyOf("Authorization: Bearerk-1\r\n").form == KeyForm::kAbsent);
-  REQUIRE(KeyOf("Authorization: \r\n").form == KeyForm::kAbsent);
-  REQUIRE(KeyOf("Authorization: Bearer\r\n").form == KeyForm::kMalformed);
-  REQUIRE(KeyOf("Authorization: Bearer a b\r\n").form == KeyForm::kMalformed);
-  REQUIRE(KeyOf("Authorization: Bearer k\xc3\xa4\r\n").form ==
-          KeyForm::kMalformed);
+  REQUIRE(KeyOf("").status == BearerKeyStatus::kAbsent);
+  REQUIRE(KeyOf("Authorization: Basic abc\r\n").status ==
+          BearerKeyStatus::kAbsent);
+  REQUIRE(KeyOf("Authorization: Bearerk-1\r\n").status ==
+          BearerKeyStatus::kAbsent);
+  REQUIRE(KeyOf("Authorization: \r\n").status == BearerKeyStatus::kAbsent);
+  REQUIRE(KeyOf("Authorization: Bearer\r\n").status ==
+          BearerKeyStatus::kMalformed);
+  REQUIRE(KeyOf("Authorization: Bearer a b\r\n").status ==
+          BearerKeyStatus::kMalformed);
+  REQUIRE(KeyOf("Authorization: Bearer k\xc3\xa4\r\n").status ==
+          BearerKeyStatus::kMalformed);
+  REQUIRE(KeyOf("Authorization: Bearer " + std::string(5000, 'x') + "\r\n")
+              .status == BearerKeyStatus::kMalformed);
   REQUIRE(
-      KeyOf("Authorization: Bearer " + std::string(5000, 'x') + "\r\n").form ==
-      KeyForm::kMalformed);
-  REQUIRE(
-      KeyOf("Authorization: Bearer a\r\nAuthorization: Bearer a\r\n").form ==
-      KeyForm::kMalformed);
+      KeyOf("Authorization: Bearer a\r\nAuthorization: Bearer a\r\n").status ==
+      BearerKeyStatus::kMalformed);
 }
 
 TEST_CASE("what names a caller is kept apart from what is passed on") {
--- a/libs/relay/tests/http_parser_test.cc
+++ b/libs/relay/tests/http_parser_test.cc
@@ -16,7 +16,7 @@
       "X-Hop\r\n"
       "X-Hop: 1\r\nKeep-Alive: timeout=3\r\nX-Kept: yes\r\n"
       "Content-Length: 3\r\n\r\nabcNEXT";
-  REQUIRE(parser.Feed(input) == ParseStep::kDone);
+  REQUIRE(parser.Feed(input) == ParseStatus::kDone);
   REQUIRE(input == "NEXT");
   REQUIRE(parser.body == "abc");
   REQUIRE(parser.head.method == "POST");
@@ -33,9 +33,9 @@
   for (std::size_t cut = 1; cut < all.size(); ++cut) {
     RequestParser parser(kNames);
     std::string input = all.substr(0, cut);
-    REQUIRE(parser.Feed(input) == ParseStep::kNeedMore);
+    REQUIRE(parser.Feed(input) == ParseStatus::kNeedMore);
     input += all.substr(cut);
-    REQUIRE(parser.Feed(input) == ParseStep::kDone);
+    REQUIRE(parser.Feed(input) == ParseStatus::kDone);
     REQUIRE(parser.body == "hello world");
   }
 }
@@ -49,7 +49,7 @@
     RequestParser parser(kNames);
     std::string input =
         std::string("POST / HTTP/1.1\r\nHost: h\r\n") + fields + "\r\nhello";
-    REQUIRE(parser.Feed(input) == ParseStep::kBad);
+    REQUIRE(parser.Feed(input) == ParseStatus::kMalformed);
   }
 }
 
@@ -58,18 +58,18 @@
   std::string input =
       "HTTP/1.1 200 OK\r\nX-Id: 7\r\nX-Seal: s\r\nConnection: "
       "close\r\n\r\npart";
-  REQUIRE(parser.Feed(input) == ParseStep::kNeedMore);
+  REQUIRE(parser.Feed(input) == ParseStatus::kNeedMore);
   REQUIRE(parser.head.has_seal);
   REQUIRE_FALSE(parser.head.is_keep_alive);
-  REQUIRE(parser.FinishAtEnd());
+  REQUIRE(parser.FinishAtEof());
   REQUIRE(parser.body == "part");
 }
 
 TEST_CASE("an answer that ends before its length is not whole") {
   AnswerParser parser(kNames);
   std::string input = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart";
-  REQUIRE(parser.Feed(input) == ParseStep::kNeedMore);
-  REQUIRE_FALSE(parser.FinishAtEnd());
+  REQUIRE(parser.Feed(input) == ParseStatus::kNeedMore);
+  REQUIRE_FALSE(parser.FinishAtEof());
 }
 
 TEST_CASE("a malformed trailer is refused, however its bytes come") {
@@ -80,16 +80,16 @@
       "0\r\nabc\r\n\r\r\n\r\n";
   AnswerParser whole(kNames);
   std::string input = text;
-  REQUIRE(whole.Feed(input) == ParseStep::kBad);
+  REQUIRE(whole.Feed(input) == ParseStatus::kMalformed);
   AnswerParser pieces(kNames);
-  ParseStep step = ParseStep::kNeedMore;
+  ParseStatus step = ParseStatus::kNeedMore;
   std::string fed;
-  for (std::size_t i = 0; i < text.size() && step == ParseStep::kNeedMore;
+  for (std::size_t i = 0; i < text.size() && step == ParseStatus::kNeedMore;
        ++i) {
     fed.push_back(text[i]);
     step = pieces.Feed(fed);
   }
-  REQUIRE(step == ParseStep::kBad);
+  REQUIRE(step == ParseStatus::kMalformed);
 }
 
 TEST_CASE("the marks of an answer are taken out") {
@@ -98,7 +98,7 @@
       "HTTP/1.1 503 Service Unavailable\r\nX-Not: 1\r\nX-Instance: i-2\r\n"
       "Content-Encoding: gzip\r\nKeep-Alive: timeout=10\r\n"
       "Content-Length: 0\r\n\r\nextra";
-  REQUIRE(parser.Feed(input) == ParseStep::kDone);
+  REQUIRE(parser.Feed(input) == ParseStatus::kDone);
   REQUIRE(parser.head.status == 503);
   REQUIRE(parser.head.is_not_run);
   REQUIRE(parser.head.is_encoded);
--- a/test/fuzz/decoders.cc
+++ b/test/fuzz/decoders.cc
@@ -121,18 +121,19 @@
   static const almondlink::relay::HeaderNames kNames;
   Parser whole(kNames);
   std::string all = text;
-  const almondlink::relay::ParseStep step = whole.Feed(all);
+  const almondlink::relay::ParseStatus step = whole.Feed(all);
   Parser pieces(kNames);
   std::string fed;
-  almondlink::relay::ParseStep last = almondlink::relay::ParseStep::kNeedMore;
+  almondlink::relay::ParseStatus last =
+      almondlink::relay::ParseStatus::kNeedMore;
   for (std::size_t i = 0; i < text.size(); ++i) {
     fed.push_back(text[i]);
     last = pieces.Feed(fed);
-    if (last != almondlink::relay::ParseStep::kNeedMore) {
+    if (last != almondlink::relay::ParseStatus::kNeedMore) {
       break;
     }
   }
-  if (step == almondlink::relay::ParseStep::kDone &&
+  if (step == almondlink::relay::ParseStatus::kDone &&
       (last != step || pieces.body != whole.body)) {
     __builtin_trap();
   }
@@ -176,11 +177,11 @@
   static const relay::HeaderNames kNames;
   relay::RequestParser parser(kNames);
   std::string rest = "GET / HTTP/1.1\r\nAuthorization: " + text + "\r\n\r\n";
-  if (parser.Feed(rest) != relay::ParseStep::kDone) {
+  if (parser.Feed(rest) != relay::ParseStatus::kDone) {
     return;
   }
   const relay::BearerKey key = relay::ReadBearerKey(parser.head);
-  const bool is_read = key.form == relay::KeyForm::kKey;
+  const bool is_read = key.status == relay::BearerKeyStatus::kPresent;
   if (is_read != !key.key.empty() ||
       key.key.find_first_of(" \t\r\n") != std::string::npos) {
     __builtin_trap();
