--- a/libs/relay/include/almondlink/relay/bearer_key.h
+++ b/libs/relay/include/almondlink/relay/bearer_key.h
@@ -6,27 +6,29 @@
 
 #include "almondlink/relay/http_parser.h"
 
-/// The API key that a caller proves itself with (RFC 6750: `Authorization:
-/// Bearer KEY`).
+/// Reads the API key from a request's bearer credentials (RFC 6750:
+/// `Authorization: Bearer KEY`).
 namespace almondlink::relay {
 
 enum class BearerKeyStatus : std::uint8_t {
-  /// There is one.
+  /// The request carries exactly one well-formed key.
   kPresent,
-  /// No credentials, or those of another scheme: 401.
+  /// There are no credentials, or they use another scheme; the status is 401.
   kAbsent,
-  /// Not of the standard's form: several fields, or no token where one belongs:
-  /// 400.
+  /// There are several Authorization fields, or the bearer value is no valid
+  /// key; the status is 400.
   kMalformed,
 };
 
-/// What a request's credentials hold. Thread safe.
+/// The result of reading a request's credentials. `key` is empty unless
+/// `status` is kPresent.
 struct BearerKey {
   BearerKeyStatus status = BearerKeyStatus::kAbsent;
   std::string key;
 };
 
-/// Reads the scheme in any case and any number of spaces behind it.
+/// Accepts the scheme in any letter case and any run of blanks after it. Thread
+/// safe.
 BearerKey ReadBearerKey(const RequestHead& head);
 
 }  // namespace almondlink::relay
--- a/libs/relay/include/almondlink/relay/caller_listener.h
+++ b/libs/relay/include/almondlink/relay/caller_listener.h
@@ -14,39 +14,43 @@
 #include "almondlink/policy/route_table.h"
 #include "almondlink/relay/http_parser.h"
 
-/// HTTP/1.1 of the callers: connections, one request at a time on each, and
-/// the answers. Knows nothing of routes or targets.
+/// HTTP/1.1 server for callers: accepts connections, handles one request at a
+/// time on each and writes the answers. Does not know about routes or targets.
 namespace almondlink::relay {
 
 class CallerSession;
 
-/// One request whose answer is awaited. Not thread safe.
+/// A request that has not been answered completely. If the connection is
+/// already closed, all calls are ignored. Not thread safe.
 class CallerExchange {
  public:
   explicit CallerExchange(std::weak_ptr<CallerSession> session_in);
 
-  /// Sends a whole answer. `fields` are lines with their ends. At most one of
-  /// Answer and BeginLong is called, once.
+  /// Sends a complete answer. `fields` holds header lines, each with its line
+  /// end. Call at most one of SendAnswer and BeginStreamedAnswer, and only
+  /// once.
   void SendAnswer(std::uint32_t status,
                   std::string_view status_text,
                   std::string_view fields,
                   std::string_view body);
 
-  /// Starts an answer whose body follows in parts.
+  /// Starts a chunked answer whose body follows in parts.
   void BeginStreamedAnswer(std::uint32_t status,
                            std::string_view status_text,
                            std::string_view fields,
                            std::string_view first_part);
   void SendPart(std::string_view body);
-  /// Ends a long answer; a broken one is cut so that it cannot look complete.
+  /// Ends a streamed answer. If `is_broken`, closes the connection without the
+  /// final chunk so that the answer cannot appear complete.
   void EndStreamedAnswer(bool is_broken);
 
-  /// The connection will be closed after the answer.
+  /// Closes the connection after the answer.
   void CloseAfterAnswer();
 
-  /// Called when the caller left before its answer was complete.
+  /// Called if the caller disconnects before its answer is complete.
   std::function<void()> on_disconnect;
-  /// Bytes of a long answer that the caller's connection took.
+  /// Called with the number of body bytes of a streamed answer that have been
+  /// written to the caller's socket since the last call.
   std::function<void(std::size_t bytes)> on_bytes_sent;
 
  private:
@@ -55,14 +59,14 @@
 
 using CallerExchangePointer = std::shared_ptr<CallerExchange>;
 
-/// Takes each complete request.
+/// Receives each complete request.
 using RequestHandler = std::function<
     void(RequestHead head, std::string body, CallerExchangePointer exchange)>;
 
-/// Listens for callers. Not thread safe: belongs to one loop.
+/// Accepts callers' connections. Not thread safe: belongs to one event loop.
 class CallerListener {
  public:
-  /// `names` must outlive the port.
+  /// `loop` and `names` must outlive the listener.
   CallerListener(boost::asio::io_context& loop,
                  const HeaderNames& names,
                  RequestHandler handler);
@@ -70,21 +74,21 @@
   CallerListener(const CallerListener&) = delete;
   CallerListener& operator=(const CallerListener&) = delete;
 
-  /// Opens the address. Errors: kIo.
+  /// Listens on the address and starts to accept. Errors: kIo.
   Result<void> Listen(const boost::asio::ip::tcp::endpoint& address);
 
   void SetLimits(const policy::CallerLimits& limits);
 
-  /// Closes connections that are idle or slow beyond the limits; call a few
+  /// Closes connections that exceed the idle or header timeout. Call a few
   /// times a second.
   void Sweep(Millis now);
 
-  /// From now on answers close their connection.
+  /// Closes each connection after its next answer from now on.
   void StartClosing();
-  /// Takes no further connection and closes the idle ones.
+  /// Stops accepting and closes the idle connections.
   void CloseIdle();
 
-  /// Connections open, and those of them with a request in work.
+  /// Number of open connections, and of those with a request in progress.
   std::size_t ConnectionCount() const;
   std::size_t BusyConnectionCount() const;
 
--- a/libs/relay/include/almondlink/relay/content_digest.h
+++ b/libs/relay/include/almondlink/relay/content_digest.h
@@ -7,25 +7,26 @@
 
 namespace almondlink::relay {
 
-/// What makes two requests the same one, sent again. Ids, deadlines, further
-/// fields and connections may differ.
+/// The parts of a request that identify its content. Two requests with equal
+/// content are repeats of each other, even if their ids, deadlines, other
+/// fields or connections differ.
 struct RequestContent {
   std::string_view deployment;
-  /// Of the route, not as the caller spelled it.
+  /// Host of the route, not as the caller spelled it.
   std::string_view host;
   std::string_view method;
   /// Path and query.
   std::string_view target;
-  /// The client account, or what the caller gave to prove who it is where the
-  /// policy knows no accounts.
+  /// Name of the client account; the credentials as sent if the policy has no
+  /// accounts.
   std::string_view account;
   std::string_view body;
 };
 
-/// The part of the digest that tells paths apart. Thread safe.
+/// Hash of path and query; the `path` part of the digest. Thread safe.
 std::uint64_t PathHashOf(std::string_view target);
 
-/// The same on all nodes of a deployment. Thread safe.
+/// Digest of the content, equal on all nodes of a deployment. Thread safe.
 control::RequestDigest DigestOf(const RequestContent& content);
 
 }  // namespace almondlink::relay
--- a/libs/relay/include/almondlink/relay/entry_calls.h
+++ b/libs/relay/include/almondlink/relay/entry_calls.h
@@ -23,27 +23,31 @@
 #include "almondlink/relay/relay_settings.h"
 #include "almondlink/relay/request_counts.h"
 
-/// Requests of the callers on this host: which route, whether let in, to which
-/// target, whether once more, and the one answer.
+/// Handles the requests of callers on this host: routing, authentication,
+/// quota, admission, choice of target, repeats, and the answer.
 ///
-/// A request is dispatched by the node that took it and by no other, so a
-/// request that may run once needs no agreement: it is sent on at most once
-/// after a send whose outcome is unknown, and *not run* is said only if no
-/// target got a byte of it or every target that did said so itself.
+/// Only the node that received a request dispatches it, so a request that may
+/// run only once needs no agreement between nodes. Such a request is not sent
+/// again after a send with an unknown outcome. *Not run* is reported only if no
+/// target received a byte of the request or every target that did stated so
+/// itself.
 namespace almondlink::relay {
 
-/// Trials of requests that targets ended under, for metrics.
+/// Counts of trial runs of quarantined requests, for metrics. A request is
+/// quarantined if targets have crashed while running it.
 struct TrialCounts {
   std::uint64_t begun = 0;
-  /// Requests that were not sent because of it.
+  /// Requests refused because of the quarantine.
   std::uint64_t refused = 0;
-  /// Trials by what came of them.
+  /// Finished trials by outcome.
   std::map<std::string, std::uint64_t> by_outcome;
 };
 
-/// Not thread safe: belongs to one loop.
+/// Dispatches the requests of one event loop. Not thread safe: belongs to that
+/// loop.
 class EntryCalls {
  public:
+  /// All arguments must outlive the object.
   EntryCalls(const RelaySettings& settings,
              PeerTable& peers,
              ServedCalls& served);
@@ -51,68 +55,79 @@
   EntryCalls(const EntryCalls&) = delete;
   EntryCalls& operator=(const EntryCalls&) = delete;
 
+  /// Installs a policy. Calls in progress keep the one that they began with.
   void SetTable(policy::RouteTablePointer table);
+  /// The policy in force; null before the first SetTable.
   const policy::RouteTablePointer& Table() const { return this->table; }
 
-  /// Takes a request of a caller.
+  /// Handles a complete request of a caller.
   void OnRequest(RequestHead head,
                  std::string body,
                  const CallerExchangePointer& exchange);
 
-  /// Loans of quotas between nodes.
+  /// Exchange of quota loans between nodes.
   QuotaExchange& Quotas() { return this->quotas; }
-  /// Requests that targets ended under, between nodes.
+  /// Exchange of quarantine records between nodes.
   BlameExchange& Quarantine() { return this->quarantine; }
   const TrialCounts& Trials() const { return this->trials; }
 
-  /// Frames from the node beside a target.
+  /// Handles the answer to a call, from the node beside its target.
   void OnAnswer(const PeerPointer& peer, const AnswerFrame& frame);
+  /// Handles a further part of a streamed answer.
   void OnPart(const PeerPointer& peer, const DataFrame& frame);
-  /// The link to a node is gone, and with it the attempts there.
+  /// Fails the attempts at a node whose link was lost.
   void OnLinkLost(const PeerPointer& peer);
 
-  /// The node does not answer on an open link.
+  /// Moves repeatable calls away from a node that does not respond although its
+  /// link is open.
   void OnSuspect(const PeerPointer& peer);
 
-  /// What another node was told by an earlier start of this one.
+  /// Restores the repeat counts that an earlier incarnation of this node
+  /// reported to a peer. Ignored if this process has run for a whole repeat
+  /// window.
   void RestoreRepeatCounts(const std::vector<ServiceRepeats>& reported);
 
-  /// Time-outs; call every few tens of milliseconds.
+  /// Handles timeouts and retries waiting calls. Call every few tens of
+  /// milliseconds.
   void Sweep(Millis now);
-  /// Works the admission out anew; call every 100 ms.
+  /// Recomputes the admission shares. Call every 100 ms.
   void UpdateAdmission(Millis now);
 
-  /// Ends all calls that are still open, because the process ends.
+  /// Answers all open calls as timed out, for process shutdown.
   void EndAll();
 
   std::size_t OpenCalls() const { return this->calls.size(); }
   const RequestCounts& Counts() const { return this->counts; }
   const control::ChainAdmission& Admission() const { return this->admission; }
-  /// Name of a route of the policy in force; its number if it is no longer in.
+  /// Name of a request class of the policy in force; its number if the policy
+  /// no longer contains it.
   std::string RouteName(std::uint32_t key) const;
-  /// Counts of the services whose requests were sent once more lately.
+  /// Repeat counts of this node, of the services with repeats in the current
+  /// window.
   std::vector<ServiceRepeats> OwnRepeatCounts(Millis now);
-  /// What this node may repeat within the window, and has, by service.
+  /// Permitted and used repeats of this node in the current window, by service.
   std::map<std::string, control::RepeatRoom> RepeatCapacities(Millis now);
-  /// Repeats that were asked for and not given, by service.
+  /// Repeats denied by the repeat allowance, by service.
   const std::map<std::string, std::uint64_t>& RepeatsDenied() const {
     return this->repeats_denied;
   }
-  /// Root requests refused at entry, by the service that had no room.
+  /// Root requests refused at entry, by the service that lacked capacity.
   const std::map<std::string, std::uint64_t>& RefusalsByService() const {
     return this->refusals_by_service;
   }
-  /// Whether a route's share is bound by that service.
+  /// Whether the service limits the admitted share of a route.
   bool IsBottleneck(const std::string& service) const;
 
  private:
   struct Call;
   using CallPointer = std::shared_ptr<Call>;
 
+  /// The part of the route that the request goes to; null if there is none.
   const policy::RoutePart* ChoosePart(const policy::Route& route);
   bool ResolveRoute(const CallPointer& call);
   void SetDeadlineAndChain(const CallPointer& call);
-  /// Whether the request may be made by who makes it; answers it if not.
+  /// Checks the caller's credentials. Returns false if the request was refused
+  /// and answered.
   bool Authenticate(const CallPointer& call);
   bool AuthenticateByKey(const CallPointer& call);
   void RefuseAuthentication(const CallPointer& call,
@@ -123,8 +138,8 @@
   bool CanTrustPolicy(Millis now) const;
   bool IsKeyStillValid(const Call& call) const;
   static bool HasQuota(const Call& call);
-  /// Whether its account may make the request now; false: it was answered, or
-  /// waits.
+  /// Takes a quota token. Returns false if the call was refused and answered,
+  /// or waits for a token.
   bool AcquireQuota(const CallPointer& call);
   void RefuseOverQuota(const CallPointer& call);
   void ServeQuotaWaiters(policy::AccountKey account);
@@ -148,7 +163,8 @@
                           const PeerPointer& peer,
                           const AnswerFrame& frame);
   control::RepeatCounts SumRepeatCounts(Millis now, const std::string& service);
-  /// Whether the call is kept until its service has a target again.
+  /// Queues a call that was not sent yet until its service has a target.
+  /// Returns false if it may not wait any longer.
   bool QueueForTarget(const CallPointer& call);
   void RetryWaiting();
   void SendTo(const CallPointer& call, const PeerPointer& peer);
@@ -157,11 +173,11 @@
                        CallReason reason);
   bool AcquireRepeat(Millis now, const Call& call, CallReason after);
   control::RequestDigest DigestOf(const Call& call) const;
-  /// The target's process ended while it ran the call.
+  /// Records that the target's process crashed while it ran the call.
   void RecordTargetCrash(const CallPointer& call, const PeerPointer& peer);
   void RecordAbandoned(const CallPointer& call);
   void OnCrashAfterAbandon(const PeerPointer& peer, std::uint32_t id);
-  /// The target answered the call, so it lived through it.
+  /// Records that the target completed the call without a crash.
   void RecordCompletion(const CallPointer& call);
   bool MayBeQuarantined(const Call& call) const;
   bool IsQuarantined(const Call& call) const;
@@ -175,7 +191,8 @@
   void EndTrial(const CallPointer& call, const char* outcome);
   void DetachCaller(const CallPointer& call);
   void MoveFromSuspect(const CallPointer& call);
-  /// Moves the call to a peer, or to none, and counts.
+  /// Assigns the call to a peer, or to none, and updates the peers' outstanding
+  /// counts.
   static void Assign(const CallPointer& call, const PeerPointer& peer);
   void ForwardAnswer(const CallPointer& call, const AnswerFrame& frame);
   void RefuseNotRun(const CallPointer& call, CallReason reason, Millis wait);
@@ -191,8 +208,9 @@
   control::RepeatRules CurrentRepeatRules() const;
   control::RepeatAllowance& AllowanceOf(const std::string& service);
   void LogShareChanges();
-  /// Id of the request that the call was made for; empty for a root.
+  /// Id of the request that made this call; empty for a root request.
   std::string ParentOf(const Call& call) const;
+  /// A random number from 0 to below 1.
   double Draw();
   Millis RetryAfter(const Call& call);
 
@@ -202,35 +220,37 @@
   policy::RouteTablePointer table;
   control::ChainAdmission admission;
   QuotaExchange quotas;
-  /// Requests that wait for a token of their account, in order, by account.
+  /// Calls that wait for a quota token, in order of arrival, by account.
   std::map<policy::AccountKey, std::deque<std::weak_ptr<Call>>> quota_waiters;
-  /// When the source of the policy was known to be in reach last.
+  /// When the source of the policy was last known to be reachable.
   Millis last_policy_contact;
-  /// When the policy in force was taken.
+  /// When the policy in force was installed.
   Millis table_set_at;
-  /// Names of the classes of requests that were seen, by their number.
+  /// Names of the known request classes, by number.
   std::unordered_map<std::uint32_t, std::string> class_names;
   std::unordered_map<std::string, control::RepeatAllowance> allowances;
-  /// What peers remember of an earlier start, by service, until it is used.
+  /// Repeat counts of an earlier incarnation, by service, until they are used.
   std::map<std::uint32_t, control::RepeatCounts> restored_counts;
   bool has_restored_counts = false;
   std::map<std::string, std::uint64_t> repeats_denied;
   std::map<std::string, std::uint64_t> refusals_by_service;
-  /// Running sums of the weighted choice, by route.
+  /// State of the weighted selection, by route.
   std::unordered_map<std::uint32_t, control::WeightedTurns> part_turns;
   std::unordered_map<std::uint32_t, CallPointer> calls;
   std::set<std::pair<std::int64_t, std::uint32_t>> timeouts;
-  /// Shares as the log last told them.
+  /// Shares as last logged.
   std::map<std::uint32_t, double> logged_shares;
   std::uint32_t last_id = 0;
-  /// When each service last had a target, and calls that wait for one.
+  /// When each service last had an available target, and the calls that wait
+  /// for a target or for their trial.
   std::unordered_map<std::string, Millis> last_available;
   std::vector<std::weak_ptr<Call>> waiting_calls;
   Millis started_at;
   std::mt19937 random;
   RequestCounts counts;
   BlameExchange quarantine;
-  /// Calls whose callers left while a target ran them: it may yet end.
+  /// Calls whose callers disconnected while a target ran them. They are kept
+  /// for a while because the target may still crash.
   struct AbandonedCall {
     CallPointer call;
     PeerPointer peer;
--- a/libs/relay/include/almondlink/relay/header_names.h
+++ b/libs/relay/include/almondlink/relay/header_names.h
@@ -5,22 +5,22 @@
 
 namespace almondlink::relay {
 
-/// Names of the HTTP fields that carry what the relay decides by. An adapter
-/// fills them in; the relay itself knows no name.
+/// Names of the HTTP fields that the relay evaluates. An adapter fills them in;
+/// the relay itself defines no field name.
 struct HeaderNames {
-  /// Id of one attempt of a caller; echoed by targets.
+  /// Id of one attempt of a caller; targets return it in their answers.
   std::string request_id;
-  /// Milliseconds that the caller still waits.
+  /// Milliseconds for which the caller still waits.
   std::string time_left;
   /// Service of the host on which a request began; set by the relay.
   std::string caller_service;
   /// Id of the instance that is to run the request; set by the relay.
   std::string target_instance;
-  /// Mark of an answer that a target made itself.
+  /// Marks an answer that the target itself produced.
   std::string seal;
-  /// Mark of an answer that says that the request has not run.
+  /// Marks an answer which states that the request has not run.
   std::string not_run;
-  /// Id of the instance that answered, on some answers.
+  /// Id of the instance that answered; present on some answers only.
   std::string instance_id;
   /// Name of the client account that a request belongs to; set by the relay
   /// where the policy has accounts.
--- a/libs/relay/include/almondlink/relay/http_parser.h
+++ b/libs/relay/include/almondlink/relay/http_parser.h
@@ -9,9 +9,9 @@
 
 #include "almondlink/relay/header_names.h"
 
-/// HTTP/1.1 messages as the relay needs them, on Boost.Beast's parser: the
-/// fields that are passed on are kept as one text, in order and unchanged; the
-/// few that decide something are taken out.
+/// HTTP/1.1 messages, parsed by Boost.Beast. Fields to forward are kept as one
+/// text, in order and unchanged; the few fields that the relay evaluates are
+/// extracted.
 namespace almondlink::relay {
 
 /// Head of a caller's request.
@@ -21,15 +21,15 @@
   std::string target;
   std::string host;
   std::string id;
-  /// Absent where the caller gave none, or none that is a number.
+  /// Empty if the caller sent no value or one that is not a number.
   std::optional<std::int64_t> time_left_ms;
-  /// `Name: value` lines to pass on, each with its line end.
+  /// `Name: value` lines to forward, each with its line end.
   std::string fields;
-  /// Value of the Authorization field, and how many there were.
+  /// Value of the last Authorization field, and the number of these fields.
   std::string credentials;
   std::uint32_t credential_count = 0;
-  /// That field and those that name an account, as lines like `fields`: passed
-  /// on only where the policy knows no accounts.
+  /// The Authorization and account fields, as lines like `fields`. Forwarded
+  /// only if the policy has no accounts.
   std::string identity_fields;
   bool expects_continue = false;
   bool is_keep_alive = true;
@@ -46,15 +46,16 @@
   bool is_not_run = false;
   bool is_encoded = false;
   bool is_keep_alive = true;
-  /// Seconds after which the target closes the idle connection; 0 if not said.
+  /// Seconds after which the target closes the idle connection; 0 if not
+  /// specified.
   std::uint32_t keep_alive_s = 0;
 };
 
-/// What became of the bytes given to a parser.
+/// State of a parser after bytes were fed to it.
 enum class ParseStatus { kNeedMore, kDone, kMalformed };
 
-/// Shared by both parsers: Beast's incremental parser fed from a text that
-/// keeps what was not used yet.
+/// Base of both parsers: Beast's incremental parser, fed from a buffer that
+/// keeps the unused bytes. `names` must outlive the parser. Not thread safe.
 template <bool IsRequest>
 class HttpParser : public boost::beast::http::basic_parser<IsRequest> {
  public:
@@ -63,10 +64,12 @@
     this->body_limit(boost::none);
   }
 
-  /// Consumes from the front of `input`; leaves what it does not use, which
-  /// after kDone belongs to the next message. Not thread safe.
+  /// Consumes bytes from the front of `input`. After kDone the remaining bytes
+  /// belong to the next message.
   ParseStatus Feed(std::string& input);
-  /// The peer closed: true if that is the proper end of the message.
+  /// Call when the peer has closed the connection. True if the message is
+  /// complete by that; a message without a length ends at the end of the
+  /// stream.
   bool FinishAtEof();
 
   std::string body;
@@ -87,12 +90,12 @@
                                  error_code& error) override;
   void on_finish_impl(error_code& error) override;
 
-  /// Keeps a field unless it concerns one connection only.
+  /// Appends the field to `fields` unless it is a hop-by-hop field.
   void KeepField(boost::beast::http::field name,
                  string_view name_text,
                  string_view value,
                  std::string& fields);
-  /// Removes the fields that the Connection field named.
+  /// Removes the fields that the Connection field names.
   void DropNominated(std::string& fields);
 
   const HeaderNames& names;
--- a/libs/relay/include/almondlink/relay/request_counts.h
+++ b/libs/relay/include/almondlink/relay/request_counts.h
@@ -11,54 +11,55 @@
 #include "almondlink/policy/route_table.h"
 #include "almondlink/relay/peer_frames.h"
 
-/// What became of the requests that one node took from callers, by route, for
-/// metrics.
+/// Counts the outcomes of the requests that one node received from callers, by
+/// route, for metrics.
 namespace almondlink::relay {
 
-/// How a request ended. Each request ends exactly once.
+/// Outcome of a request. Each request has exactly one.
 enum class RequestOutcome : std::uint8_t {
-  /// A target answered with success, or with a failure of its own.
+  /// A target answered, with a success or with an error of its own.
   kServed,
   kFailedByTarget,
-  /// Refused before anything was sent, and given up without having run.
+  /// Refused before anything was sent, or abandoned without having run.
   kRefusedAtEntry,
   kNotRun,
-  /// It may have run: no answer in time, or none at all.
+  /// The request may have run: there was no answer in time, or none at all.
   kTimedOut,
   kUnknown,
   kNoRoute,
   kCallerLeft,
-  /// No account holds the key, or there is none where one is needed.
+  /// Authentication failed: no account has the key, a required key is missing
+  /// or malformed, or the node could not verify it.
   kUnknownKey,
-  /// Beyond the quota of its account.
+  /// Refused because its account has exhausted its quota.
   kOverQuota,
 };
 
-/// Name of an end in metrics.
+/// Label of the outcome in metrics.
 const char* ToString(RequestOutcome outcome);
 
-/// Not thread safe: belongs to one loop.
+/// Counters of one event loop. Not thread safe: belongs to that loop.
 class RequestCounts {
  public:
-  /// Counts the end of a request; `route` is null if none was found.
+  /// Counts a request and its outcome. `route` is null if no route matched.
   void CountRequest(const policy::Route* route,
                     bool is_root,
                     RequestOutcome outcome,
                     CallReason reason,
                     LatencyMs latency);
 
-  /// Counts the end of a root request of a client account.
+  /// Counts a root request of a client account and its outcome.
   void CountAccountRequest(const std::string& account, RequestOutcome outcome);
 
-  /// Counts a send to a second target, or to another after one turned it back
-  /// unsent.
+  /// CountRepeat counts a send to a second target after a failure; CountMove
+  /// counts a send to another target after one returned the request unsent.
   void CountRepeat(const policy::Route& route, CallReason after);
   void CountMove(const policy::Route& route, CallReason after);
 
-  /// Counts the time that the nodes added to an answered request.
+  /// Records the latency that the nodes added to an answered request.
   void RecordAddedLatency(LatencyMs added) { this->added_latency.Add(added); }
 
-  /// Appends all series in the text exposition format.
+  /// Appends all series in the Prometheus text exposition format.
   void Write(MetricText& out) const;
 
  private:
@@ -67,7 +68,8 @@
   struct RouteCounts {
     std::string name;
     bool is_repeatable = false;
-    /// By end and reason, of requests and of calls that targets make.
+    /// Counts by outcome and reason, of root requests and of calls that targets
+    /// make.
     std::map<std::pair<RequestOutcome, CallReason>, std::uint64_t> roots;
     std::map<std::pair<RequestOutcome, CallReason>, std::uint64_t> calls;
     Reasons repeats;
--- a/libs/relay/src/answer_text.h
+++ b/libs/relay/src/answer_text.h
@@ -9,7 +9,7 @@
 
 namespace almondlink::relay {
 
-/// Statuses of the answers that a node gives itself.
+/// HTTP statuses of the answers that a node generates.
 constexpr std::uint32_t kStatusBadRequest = 400;
 constexpr std::uint32_t kStatusUnauthorized = 401;
 constexpr std::uint32_t kStatusTooMany = 429;
@@ -17,10 +17,10 @@
 constexpr std::uint32_t kStatusUnavailable = 503;
 constexpr std::uint32_t kStatusGatewayTimeout = 504;
 
-/// The standard's words for them; those of 503 for any other.
+/// Reason phrase of the status; "Service Unavailable" for any other status.
 std::string_view StatusText(std::uint32_t status);
 
-/// The field that tells a caller when to come back, with its line end.
+/// The Retry-After field with its line end, in seconds with two decimals.
 std::string RetryAfterField(Millis wait);
 
 }  // namespace almondlink::relay
--- a/libs/relay/src/bearer_key.cc
+++ b/libs/relay/src/bearer_key.cc
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// Longest key; the fields of a request are bounded anyway, and longer ones
-/// would only be hashed in vain.
+/// Maximum length of a key. The fields of a request are bounded anyway; a
+/// longer key would only cost hashing.
 constexpr std::size_t kMaxKeyLength = 4096;
 
-/// Visible ASCII: wider than the standard's token68, since operators choose the
-/// keys.
+/// Accepts visible ASCII, which is wider than the token68 of RFC 6750 because
+/// operators choose the keys.
 bool IsKeyCharacter(char c) {
   return c > ' ' && c <= '~';
 }
--- a/libs/relay/src/caller_listener.cc
+++ b/libs/relay/src/caller_listener.cc
@@ -17,21 +17,23 @@
 
 namespace {
 
-/// Connections that wait to be accepted: a burst of one tick of all callers.
+/// Accept backlog; holds a burst in which all callers connect within one loop
+/// tick.
 constexpr int kBacklog = 1024;
-/// Idle connections that are closed together when descriptors are short: some
-/// more than one, so that a steady stream of new callers does not search all
-/// connections for each.
+/// Idle connections closed at a time when file descriptors run short. Closing
+/// more than one avoids a search of all connections for each new caller.
 constexpr std::size_t kIdleCloseBatch = 16;
-/// A connection that was just opened or used is about to be used.
+/// Minimum idle time before a connection may be closed: one that was just
+/// opened or used is likely to be used again.
 constexpr Millis kMinIdleTime{300};
-/// Time until it is tried again to accept while every descriptor is in work.
+/// Delay before the next accept while no descriptor is free and no connection
+/// is idle.
 constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
-/// Part of the descriptors that callers may use; links to other nodes and
+/// Callers may use one in this many file descriptors; links to other nodes and
 /// connections to the target need the rest.
 constexpr std::size_t kDescriptorDivisor = 2;
 
-/// Connections of callers above which idle ones are closed.
+/// Number of connections above which idle ones are closed.
 std::size_t MaxSessions() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0 ||
@@ -132,7 +134,7 @@
       return;
     }
     if (IsShortage(error) && state->CloseLongestIdle() == 0) {
-      // All are in work: the next one waits in the kernel's queue.
+      // All connections are busy: new ones wait in the kernel's accept queue.
       ScheduleAccept(state);
       return;
     }
--- a/libs/relay/src/caller_session.cc
+++ b/libs/relay/src/caller_session.cc
@@ -13,12 +13,13 @@
 
 namespace {
 
-/// A caller that acknowledges nothing for so long is gone.
+/// A connection is dropped if the caller acknowledges no data for this long.
 constexpr Millis kAckTimeout{10'000};
-/// Bytes that a caller may send ahead while its request is in work.
+/// Bytes that a caller may send ahead while its request is in progress.
 constexpr std::size_t kMaxReadAhead = 64 * 1024;
-/// Our own time-out on idle connections lies above the stated one, so that a
-/// caller never sends on a connection that is just being closed.
+/// The effective idle timeout is 1.3 times the configured one, so that a caller
+/// that honors the configured value never sends on a connection that is being
+/// closed.
 constexpr std::int64_t kIdleFactorTenths = 13;
 constexpr std::uint32_t kNoContent = 204;
 constexpr std::uint32_t kNotModified = 304;
@@ -267,7 +268,8 @@
   this->exchange.reset();
   this->last_active = BootTimeNow();
   if (this->is_last_answer) {
-    // Closing with unread bytes would reset the answer away.
+    // Closing a socket with unread bytes would send a reset, and the caller
+    // could lose the answer.
     boost::system::error_code ignored;
     this->socket.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
     if (this->input.empty()) {
@@ -276,7 +278,7 @@
     return;
   }
   if (this->input.empty()) {
-    // Idle for long, perhaps: nothing is kept for it.
+    // The connection may stay idle for long; release the buffer.
     std::string().swap(this->input);
   } else {
     boost::asio::post(this->listener->loop,
--- a/libs/relay/src/caller_session.h
+++ b/libs/relay/src/caller_session.h
@@ -19,23 +19,23 @@
 
   void Start();
   void Close();
-  /// Closes if nothing is in work.
+  /// Closes the connection if no request is in progress.
   void CloseIfIdle();
   void Sweep(Millis now);
   bool IsBusy() const { return this->exchange != nullptr; }
-  /// Whether it waits for a request of which nothing has come.
+  /// Whether no byte of a next request has been parsed.
   bool IsIdle() const {
     return !this->IsBusy() && this->output.empty() &&
            !this->has_partial_request;
   }
   Millis LastActive() const { return this->last_active; }
-  /// Whether bytes have come that were not read yet.
+  /// Whether the socket holds unread bytes.
   bool HasUnread() const {
     boost::system::error_code ignored;
     return this->socket.available(ignored) > 0;
   }
 
-  // Called through the exchange.
+  // Called through CallerExchange.
   void WriteAnswer(std::uint32_t status,
                    std::string_view status_text,
                    std::string_view fields,
@@ -90,14 +90,14 @@
         acceptor(loop_in),
         accept_retry_timer(loop_in) {}
 
-  /// Closes the longest idle connections; the number of them.
+  /// Closes the connections that have been idle longest. Returns their number.
   std::size_t CloseLongestIdle();
 
   boost::asio::io_context& loop;
   const HeaderNames& names;
   RequestHandler handler;
   boost::asio::ip::tcp::acceptor acceptor;
-  /// Runs while no further connection can be accepted.
+  /// Delays the next accept while no file descriptor is free.
   boost::asio::steady_timer accept_retry_timer;
   policy::CallerLimits limits;
   std::unordered_set<std::shared_ptr<CallerSession>> sessions;
--- a/libs/relay/src/content_digest.cc
+++ b/libs/relay/src/content_digest.cc
@@ -14,7 +14,8 @@
 
 constexpr std::size_t kDigestSize = 2 * sizeof(std::uint64_t);
 
-/// The length goes first, so that no two lists of texts are one byte string.
+/// Prefixes each text with its length, so that different lists of texts never
+/// yield the same bytes.
 void Add(std::string_view text, crypto_generichash_state& state) {
   const std::uint64_t size =
       boost::endian::native_to_big(static_cast<std::uint64_t>(text.size()));
--- a/libs/relay/src/entry_accounts.cc
+++ b/libs/relay/src/entry_accounts.cc
@@ -7,32 +7,32 @@
 #include "answer_text.h"
 #include "entry_call.h"
 
-/// Who asks, and whether the account may ask for more: API keys and quotas.
+/// Authentication and quotas of client accounts.
 ///
-/// A call that the target beside this node makes belongs to the run that makes
-/// it and needs no key. All others name a client account by its key, which is
-/// looked up in the policy in force for each request, so a key that is taken
-/// away stops at once, on open connections too. What waits is looked up again
-/// when it is first sent.
+/// A call that the target beside this node makes belongs to the request that is
+/// running there and needs no key. All other requests name a client account by
+/// its API key. The key is looked up in the policy in force for each request,
+/// so a revoked key stops working at once, on open connections too. A request
+/// that had to wait is checked again when it is first sent.
 namespace almondlink::relay {
 
 namespace {
 
-/// Advice while a node may be behind the policy: it asks another node at once,
-/// and has it within a few round trips.
+/// Retry-After while the policy of this node may be out of date. The node asks
+/// another node at once and has the new policy within a few round trips.
 constexpr Millis kStalePolicyRetryAfter{300};
-/// A node that has not heard of the source of the policy for so long cannot
-/// tell whether a key that it does not know is new. Nodes tell their state once
-/// a second.
+/// Without contact to the policy source for this long, a node cannot tell
+/// whether an unknown key is new. Nodes report their state once a second.
 constexpr Millis kPolicyContactTimeout{1500};
-/// Runs that a start of this node before had sent to the same instance may
-/// still make calls for as long as their callers wait.
+/// Requests that an earlier incarnation of this node sent to the same instance
+/// may still make calls for as long as their callers wait.
 constexpr Millis kPreviousRunsPeriod{10'000};
-/// A request waits for a token of its account for an eighth of its latency
-/// target, which loses it nothing, but for one answer of the lender's at least.
+/// A request waits for a quota token for at most an eighth of its latency
+/// target, which still leaves it enough time, but at least for one answer of
+/// the lender (kMinQuotaWait).
 constexpr std::int64_t kQuotaWaitDivisor = 8;
-/// Right after a start nobody may lend yet, and no target may be known either:
-/// then it waits for as long as for a target.
+/// Right after a start no node may be able to lend yet and no target may be
+/// known. The wait is then as long as the one for a target.
 constexpr std::int64_t kStartupQuotaWaitDivisor = 2;
 constexpr Millis kMinQuotaWait{60};
 constexpr Millis kMinRetryAfter{50};
@@ -41,7 +41,8 @@
 
 bool EntryCalls::Authenticate(const CallPointer& call) {
   if (!call->table->has_accounts) {
-    // Another program's business: passed on as it came.
+    // Without accounts in the policy the credentials belong to another program
+    // and are forwarded unchanged.
     call->head.fields += call->head.identity_fields;
     return true;
   }
@@ -98,7 +99,7 @@
   if (may_be_of_previous_run) {
     return true;
   }
-  // A call of a run that has ended: nobody waits for what it would bring.
+  // The request that made this call has ended, so nobody waits for the answer.
   this->RefuseAuthentication(call, kStatusUnavailable, "run-ended");
   return false;
 }
@@ -133,14 +134,14 @@
   call->exchange->SendAnswer(status, StatusText(status), fields, "");
 }
 
-/// Notes whether the source of the policy is in reach.
+/// Updates the time of the last contact with the policy source.
 void EntryCalls::RecordPolicyContact(Millis now) {
   if (this->peers.IsInTouchWithSource()) {
     this->last_policy_contact = now;
   }
 }
 
-/// Whether there may be a newer policy than the one in force here.
+/// Whether a newer policy than the one in force may exist.
 bool EntryCalls::MayHaveStalePolicy() const {
   const std::uint64_t own = this->table->version;
   const bool has_newer_peer = std::any_of(
@@ -152,13 +153,13 @@
          BootTimeNow() - this->last_policy_contact > kPolicyContactTimeout;
 }
 
-/// Whether this node may still believe the keys that it knows.
+/// Whether the policy is recent enough to accept the keys in it.
 bool EntryCalls::CanTrustPolicy(Millis now) const {
   const std::optional<Millis>& limit = this->settings.revoke_after;
   return !limit.has_value() || now - this->last_policy_contact <= *limit;
 }
 
-/// Whether its key still names its account, by the policy in force now.
+/// Whether the call's key still names its account in the policy in force.
 bool EntryCalls::IsKeyStillValid(const Call& call) const {
   if (call.account == nullptr || call.table == this->table) {
     return true;
@@ -201,7 +202,8 @@
   return false;
 }
 
-/// The lender of the account has answered, or its silence has to be decided.
+/// Serves the waiting calls after the lender answered, or fails those that
+/// waited too long because it did not.
 void EntryCalls::ServeQuotaWaiters(policy::AccountKey account) {
   const auto found = this->quota_waiters.find(account);
   if (found == this->quota_waiters.end()) {
@@ -254,7 +256,8 @@
   const policy::ClientAccount& account = *call->account;
   const Millis base_wait = this->quotas.WaitOf(account);
   const bool is_over = !this->quotas.IsSilent(account, BootTimeNow());
-  // Spread, so that those refused together do not return together.
+  // Adds up to half at random so that callers refused together do not return
+  // together.
   const Millis wait = std::max(
       kMinRetryAfter,
       Millis{static_cast<std::int64_t>(static_cast<double>(base_wait.count) *
--- a/libs/relay/src/entry_admission.cc
+++ b/libs/relay/src/entry_admission.cc
@@ -8,16 +8,16 @@
 #include "almondlink/relay/entry_calls.h"
 #include "entry_call.h"
 
-/// Whether there is room for a root request; almondlink/control/
-/// chain_admission.h works the shares out.
+/// Admission of root requests. The shares are computed in
+/// almondlink/control/chain_admission.h.
 namespace almondlink::relay {
 
 namespace {
 
-/// Advice when to come back if nothing is known of the route, and the shortest.
+/// Retry-After if the route is not known, and the minimum.
 constexpr Millis kDefaultRetryAfter{300};
 constexpr Millis kMinRetryAfter{50};
-/// Change of a share that is worth a line in the log.
+/// Minimum change of a share that is logged.
 constexpr double kLoggedShareStep = 0.1;
 
 }  // namespace
@@ -64,10 +64,10 @@
       });
 }
 
-/// When a refused caller should come back: early enough that an answer then is
-/// still worth its whole value, and spread, so that those refused together do
-/// not return together. Longer waits were measured (docs/RESULTS.md): callers
-/// come back in any case, and what they get is late.
+/// Time after which a refused caller should return: early enough that an answer
+/// then is still useful in full, and spread so that callers refused together do
+/// not return together. Longer waits did not help (docs/RESULTS.md): callers
+/// return in any case, and the answers they get are late.
 Millis EntryCalls::RetryAfter(const Call& call) {
   if (call.route == nullptr) {
     return kDefaultRetryAfter;
@@ -123,7 +123,7 @@
   this->LogShareChanges();
 }
 
-/// A line when a share has moved by a tenth since the last line.
+/// Logs each share that has moved by kLoggedShareStep since it was last logged.
 void EntryCalls::LogShareChanges() {
   for (const auto& [route, state] : this->admission.routes) {
     const auto [logged, is_new] = this->logged_shares.emplace(route, 1.0);
--- a/libs/relay/src/entry_answers.cc
+++ b/libs/relay/src/entry_answers.cc
@@ -17,7 +17,8 @@
 void EntryCalls::ForwardAnswer(const CallPointer& call,
                                const AnswerFrame& frame) {
   if (call->is_caller_gone && frame.has_more) {
-    // Nobody takes the rest, and it would wait to be taken.
+    // The caller is gone, so nobody would receive the rest and the flow-control
+    // window would never open again.
     this->CancelAttempt(call);
     this->Finish(call);
     return;
@@ -134,7 +135,7 @@
     call->has_token = false;
     this->quotas.GiveBack(*call->account, BootTimeNow());
   }
-  // A refusal at entry has a line of its own.
+  // A refusal at entry is logged by AdmitRoot.
   const bool was_admitted = !call->is_refused_at_entry;
   this->CountOutcome(
       *call,
@@ -157,7 +158,7 @@
                               RequestOutcome outcome,
                               CallReason reason) {
   if (call.is_caller_gone) {
-    // It was counted when its caller left.
+    // The outcome was counted when the caller disconnected.
     return;
   }
   const LatencyMs took{PreciseNow().count - call.started.count};
@@ -167,8 +168,8 @@
   }
 }
 
-/// What ran for a root tells the calls of its route's chain; what ran for a
-/// call is part of the run that made it.
+/// The runs of a root request feed the estimate of its route's call chain;
+/// those of a call are added to the running request that made it.
 void EntryCalls::RecordRunCounts(const Call& call) {
   if (call.run_counts.size == 0) {
     return;
@@ -210,7 +211,7 @@
 }
 
 void EntryCalls::TimeOut(const CallPointer& call) {
-  // A call that is out may be running: only its node could tell.
+  // The request may be running at the target: only its node would know.
   call->may_have_run = call->may_have_run || call->peer != nullptr;
   this->CancelAttempt(call);
   this->FinishFailed(call, CallReason::kTimeout);
--- a/libs/relay/src/entry_attempts.cc
+++ b/libs/relay/src/entry_attempts.cc
@@ -13,10 +13,11 @@
 
 constexpr std::uint32_t kMisdirected = 421;
 constexpr std::uint32_t kServerError = 500;
-/// Sends that were turned back before the target, for one request.
+/// Maximum number of sends of one request that were returned before they
+/// reached a target.
 constexpr std::uint32_t kMaxMoves = 4;
-/// A root request may wait this part of its latency target for a slot: longer
-/// would use up the time that its calls need.
+/// A root request may wait at a target for half of its latency target: a longer
+/// wait would use up the time that its calls need.
 constexpr std::int64_t kRootWaitDivisor = 2;
 
 }  // namespace
@@ -31,14 +32,15 @@
   }
 }
 
-/// Whether calls may be sent to the target beside that node.
+/// Whether calls may be sent to the target beside the node.
 bool EntryCalls::IsTargetAvailable(const Peer& peer) {
   return peer.IsReachable() && !peer.is_suspect && !peer.told.is_stopping &&
          peer.told.state == InstanceState::kReady;
 }
 
-/// Where the call may go next: to a target that did not get it, while its route
-/// allows another, or to one that refused it without running.
+/// Next node to try: one whose target has not received the call, while the
+/// route allows another attempt, or one whose target refused it without running
+/// it.
 PeerPointer EntryCalls::NextPeer(const Call& call) {
   if (call.reached_nodes.size() < call.route->attempts) {
     PeerPointer other = this->ChoosePeer(call, false);
@@ -81,7 +83,8 @@
   std::optional<std::size_t> place =
       control::ChoosePlace(rules, views, now, draws);
   if (!place.has_value()) {
-    // A target that leaves still serves for a while; better than nobody.
+    // A draining target still serves for a while; use one if no other target is
+    // available.
     for (std::size_t i = 0; i < members.size(); ++i) {
       views[i].is_open = members[i]->IsReachable() &&
                          members[i]->told.state == InstanceState::kDraining;
@@ -132,7 +135,8 @@
   return true;
 }
 
-/// Sends what waited for a target that is there now; the rest waits on or ends.
+/// Retries the calls that wait for a target or a trial. Those that cannot be
+/// sent keep waiting or fail.
 void EntryCalls::RetryWaiting() {
   std::vector<std::weak_ptr<Call>> before;
   before.swap(this->waiting_calls);
@@ -155,8 +159,8 @@
     this->FinishFailed(call, CallReason::kDeadline);
     return;
   }
-  // An id is used for one attempt only: a late answer of an earlier one finds
-  // nobody.
+  // Each attempt gets its own id, so a late answer to an earlier attempt
+  // matches no call.
   if (call->attempts + call->moves > 0) {
     this->calls.erase(call->id);
     this->timeouts.erase({call->expires_at.count, call->id});
@@ -196,8 +200,8 @@
     call->is_counted_for_repeats = true;
     control::RepeatAllowance& allowance = this->AllowanceOf(call->service);
     if (call->info.is_repeat) {
-      // Made by a run that was itself a repeat: it counts as one, and not as a
-      // request of its own.
+      // The call was made by a request that is itself a repeat. It counts as a
+      // repeat and not as a new request.
       control::NoteRepeat(this->CurrentRepeatRules(), now, allowance);
     } else {
       control::NoteRequest(this->CurrentRepeatRules(), now, allowance);
@@ -270,7 +274,7 @@
   this->ForwardAnswer(call, frame);
 }
 
-/// True if the target was set aside by it.
+/// Returns true if the target was set aside because of the outcome.
 bool EntryCalls::UpdateTargetHealth(const Call& call,
                                     const PeerPointer& peer,
                                     const AnswerFrame& frame) {
@@ -282,7 +286,7 @@
       this->MeanFailureRateOfOthers(call, peer), peer->health);
 }
 
-/// How often the other targets of the call's service fail, on average.
+/// Mean failure rate of the other available targets of the call's service.
 double EntryCalls::MeanFailureRateOfOthers(const Call& call,
                                            const PeerPointer& peer) {
   double sum = 0;
@@ -366,9 +370,9 @@
   }
 }
 
-/// The node does not answer, though its link is open: the host may stand still,
-/// or the way is cut. What may run again is tried elsewhere; the rest may still
-/// be answered.
+/// The node does not respond although its link is open: its host may be
+/// suspended, or the network is partitioned. Repeatable calls are moved to
+/// other nodes; the others may still be answered.
 void EntryCalls::OnSuspect(const PeerPointer& peer) {
   std::vector<CallPointer> waiting;
   for (const auto& [id, call] : this->calls) {
@@ -383,12 +387,12 @@
 }
 
 void EntryCalls::MoveFromSuspect(const CallPointer& call) {
-  // What is tried there, or held by now, is not taken elsewhere.
+  // A call on trial, or one that has been quarantined since, is not moved.
   if (call->is_on_trial || this->IsQuarantined(*call)) {
     return;
   }
-  // The attempt that is out is given up only for one that can be made: where
-  // the other targets leave or are set aside, it may still be answered.
+  // Give up the current attempt only if another one can be made. If the other
+  // targets are draining or set aside, this one may still be answered.
   ++call->attempts;
   call->reached_nodes.push_back(call->peer->node.name);
   const PeerPointer next = this->NextPeer(*call);
@@ -409,7 +413,7 @@
   this->SendTo(call, next);
 }
 
-/// Ends the attempt that is out, at the target too.
+/// Cancels the current attempt, at the target's node too.
 void EntryCalls::CancelAttempt(const CallPointer& call) {
   const PeerPointer peer = call->peer;
   if (peer == nullptr) {
--- a/libs/relay/src/entry_calls.cc
+++ b/libs/relay/src/entry_calls.cc
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::uint32_t kNotFound = 404;
-/// Advice when to come back while there is no policy.
+/// Retry-After while there is no policy.
 constexpr Millis kNoPolicyRetryAfter{300};
 
 }  // namespace
@@ -56,8 +56,8 @@
   }
 }
 
-/// The priority that requests of the route and of accounts of that priority
-/// have from now on, and their name.
+/// Updates priority and name of the request class of a route and an account
+/// priority, if the class is in use.
 void EntryCalls::SetClassPriority(
     const policy::Route& route,
     std::optional<std::uint32_t> account_priority) {
@@ -97,8 +97,8 @@
   return std::uniform_real_distribution<double>(0, 1)(this->random);
 }
 
-/// The part of a divided route that this request belongs to, whatever its
-/// targets do.
+/// Part of a split route that this request goes to, independent of the state of
+/// the targets.
 const policy::RoutePart* EntryCalls::ChoosePart(const policy::Route& route) {
   if (route.parts.size() < 2) {
     return route.parts.empty() ? nullptr : &route.parts.front();
@@ -113,7 +113,8 @@
                                         this->part_turns[route.key.Value()])];
 }
 
-/// The route that the request is for; answers it if there is none.
+/// Sets the call's route and service. Without a matching route answers 404 and
+/// returns false.
 bool EntryCalls::ResolveRoute(const CallPointer& call) {
   call->route = this->table->Find(call->head.host, call->head.target);
   const policy::RoutePart* part =
@@ -135,7 +136,7 @@
   return true;
 }
 
-/// When it must be answered, and the chain of calls that it belongs to.
+/// Sets the call's deadline and the call chain that it belongs to.
 void EntryCalls::SetDeadlineAndChain(const CallPointer& call) {
   const Millis waits =
       call->head.time_left_ms.has_value()
@@ -163,7 +164,8 @@
       static_cast<std::uint8_t>(std::min<int>(call->info.depth + 1, 255));
 }
 
-/// From now on it ends when its time is over or its caller leaves.
+/// Registers the call: from now on it ends when it times out or its caller
+/// disconnects.
 void EntryCalls::Register(const CallPointer& call) {
   if (call->id != 0) {
     return;
@@ -202,7 +204,7 @@
   }
 }
 
-/// Lets the request in, if there is room, and sends it.
+/// Sends the request if admission allows it; otherwise refuses it.
 void EntryCalls::Admit(const CallPointer& call) {
   if (call->is_root && !this->AdmitRoot(call)) {
     return;
--- a/libs/relay/src/entry_quarantine.cc
+++ b/libs/relay/src/entry_quarantine.cc
@@ -7,21 +7,23 @@
 #include "answer_text.h"
 #include "entry_call.h"
 
-/// Requests that targets end under: what is noted of them, and their trials.
+/// Query-of-death detection: records crashes of targets against the requests
+/// that were running, and runs quarantined requests on trial.
 ///
-/// Attempts and repeats are bounded by a request's id, which is new each time
-/// its caller sends it again; what ends targets is its content, wherever it
-/// comes. So a request that more than one target ended under goes no further by
-/// itself, at any node (almondlink/control/blame.h).
+/// Attempts and repeats are bounded by a request's id, which changes each time
+/// the caller sends the request again. Crashes depend on the content, whichever
+/// caller sends it. So a request whose content was running in more than one
+/// crash is not sent any further on its own, at any node
+/// (almondlink/control/blame.h).
 namespace almondlink::relay {
 
 namespace {
 
-/// A request waits for its trial, or for that of the same request sent by
-/// somebody else, for its latency target; for an ask and one short run at
-/// least.
+/// A request waits for its trial, or for that of an equal request from another
+/// caller, for its latency target, but at least for one exchange with the
+/// permitting node and one short run.
 constexpr Millis kMinTrialWait{200};
-/// Calls whose callers left are remembered for so long, and so many of them.
+/// Retention and maximum number of calls whose callers disconnected.
 constexpr Millis kAbandonedRetention{1000};
 constexpr std::size_t kMaxAbandoned = 128;
 
@@ -42,14 +44,14 @@
   return relay::DigestOf(content);
 }
 
-/// Whether anything may be known of the request; costs next to nothing where
-/// no target has ended lately.
+/// Whether there may be a record of the request. Cheap while no target has
+/// crashed recently.
 bool EntryCalls::MayBeQuarantined(const Call& call) const {
   return !this->quarantine.IsEmpty() &&
          !this->quarantine.IsBlank(PathHashOf(call.head.target));
 }
 
-/// Whether the request runs on trial only, or not at all.
+/// Whether the request may run only on trial, or not at all.
 bool EntryCalls::IsQuarantined(const Call& call) const {
   return this->MayBeQuarantined(call) &&
          this->quarantine.Judge(this->DigestOf(call), BootTimeNow()).step !=
@@ -119,8 +121,8 @@
       [](const PeerPointer& peer) { return IsTargetAvailable(*peer); });
 }
 
-/// Whether the call may be sent as any other; if not it waits for its trial, or
-/// was answered.
+/// Returns true if the call may be sent without a trial. Otherwise the call
+/// waits for its trial or for a target, or was answered.
 bool EntryCalls::CheckQuarantine(const CallPointer& call) {
   if (!this->MayBeQuarantined(*call)) {
     return true;
@@ -133,7 +135,8 @@
   }
   if (verdict.step == control::BlameStep::kTry &&
       !this->HasAvailableTarget(call->service)) {
-    // It waits for a target as any other.
+    // Without an available target no trial can begin; wait for one like any
+    // other call.
     if (!this->QueueForTarget(call)) {
       this->FinishFailed(call, CallReason::kNoInstance);
     }
@@ -150,7 +153,8 @@
   }
   call->trial_digest = digest;
   if (call->peer != nullptr) {
-    // What becomes of that node from now on does not concern the call.
+    // Detach the call from the node, so that later events of that node do not
+    // affect it.
     call->last_instance = call->peer->told.instance;
     Assign(call, nullptr);
   }
@@ -159,8 +163,8 @@
   return false;
 }
 
-/// It goes no further. `wait`: until it may be tried again; 0: it waited for a
-/// trial in vain.
+/// Refuses a quarantined call. `wait`: time until it may be tried again; 0 if
+/// it waited for a trial without getting one.
 void EntryCalls::RefuseQuarantined(const CallPointer& call,
                                    const control::RequestDigest& digest,
                                    Millis wait) {
@@ -188,7 +192,7 @@
                      wait > Millis{0} ? wait : this->RetryAfter(*call));
 }
 
-/// Begins the trial with the first of the calls that wait for it there.
+/// Starts the permitted trial with the first waiting call of that content.
 void EntryCalls::OnTrialPermitted(const control::RequestDigest& digest,
                                   const std::string& node) {
   const std::vector<PeerPointer>& all = this->peers.All();
@@ -196,7 +200,8 @@
       all.begin(), all.end(),
       [&node](const PeerPointer& peer) { return peer->node.name == node; });
   if (permitted == all.end()) {
-    // Permitted by a node that knows more: its permit runs out.
+    // The permitting node knows a peer that this node does not; the permit
+    // expires unused.
     return;
   }
   const std::string& service = (*permitted)->told.service;
@@ -223,7 +228,7 @@
   this->SendTo(call, *permitted);
 }
 
-/// The call is on trial no more, if it was.
+/// Ends the trial of the call, if it is on trial.
 void EntryCalls::EndTrial(const CallPointer& call, const char* outcome) {
   if (!call->is_on_trial) {
     return;
@@ -237,8 +242,9 @@
   this->quarantine.EndTrial(digest, call->service);
 }
 
-/// The caller of a trial has left. The run goes on to its end: cut short, it
-/// would tell nothing, and the next one would have to be tried.
+/// The caller of a call on trial has disconnected. The run continues: a
+/// cancelled run proves nothing, and the next equal request would need another
+/// trial.
 void EntryCalls::DetachCaller(const CallPointer& call) {
   this->CountOutcome(*call, RequestOutcome::kCallerLeft, CallReason::kNone);
   call->is_caller_gone = true;
--- a/libs/relay/src/entry_repeats.cc
+++ b/libs/relay/src/entry_repeats.cc
@@ -4,18 +4,18 @@
 #include "almondlink/relay/entry_calls.h"
 #include "entry_call.h"
 
-/// Whether a request is sent once more: the bound on repeats, and what they are
-/// good for.
+/// Decides whether a request is repeated: the repeat allowance, and whether a
+/// repeat can help.
 namespace almondlink::relay {
 
 namespace {
 
-/// Calls for each run above which a service counts as one that makes calls.
+/// Mean calls per run above which a service counts as one that makes calls.
 constexpr double kMinCallsPerRun = 0.5;
-/// Part of their answers that are failures above which targets fail for a
-/// reason that they share; single failures are far rarer.
+/// Mean error rate above which targets fail for a shared reason; isolated
+/// errors are far rarer.
 constexpr double kSharedErrorRate = 0.1;
-/// Time left below which a request is not sent once more.
+/// Minimum time to the deadline for a repeat.
 constexpr Millis kMinTimeForRepeat{30};
 
 }  // namespace
@@ -74,8 +74,9 @@
   return own;
 }
 
-/// Sums over the nodes that repeat requests of the service. Those that do not
-/// tell nothing: without their requests the bound is lower than it might be.
+/// Sums the counts of the nodes that repeat requests of the service. Nodes
+/// without repeats report nothing; without their requests the bound is lower
+/// than it could be.
 control::RepeatCounts EntryCalls::SumRepeatCounts(Millis now,
                                                   const std::string& service) {
   const std::uint32_t key = ServiceKeyOf(service);
@@ -97,10 +98,10 @@
   return sums;
 }
 
-/// Whether a failure that a target answered may be the target's own. A run that
-/// makes calls fails with them: where the other targets of its service fail as
-/// well, something below them does, and another run would take its repeats from
-/// the requests that can still be made whole.
+/// Whether an error answer may be the target's own fault, so that a repeat
+/// elsewhere can help. A request that makes calls fails if they fail: if the
+/// other targets of the service fail too, the cause lies below them, and a
+/// repeat would use allowance that other requests could still succeed with.
 bool EntryCalls::CanRepeatHelp(const Call& call, const PeerPointer& peer) {
   if (this->CallsPerRun(call.service) < kMinCallsPerRun) {
     return true;
@@ -116,7 +117,7 @@
   return others == 0 || sum / others < kSharedErrorRate;
 }
 
-/// Calls that a run of the service makes, at the target that makes most.
+/// Mean calls per run of the service, at the target with the most.
 double EntryCalls::CallsPerRun(const std::string& service) {
   double calls = 0;
   for (const PeerPointer& peer : this->peers.Of(service)) {
@@ -130,8 +131,9 @@
       call.deadline - now < kMinTimeForRepeat) {
     return false;
   }
-  // A run that makes calls repeats them too, so it takes so much less of the
-  // bound that the sum over all services of a chain stays within it.
+  // A repeated run also repeats its calls. Its share of the allowance is
+  // reduced accordingly, so that the sum over all services of a chain stays
+  // within the bound.
   control::RepeatRules rules = this->CurrentRepeatRules();
   rules.used_part /= 1 + this->CallsPerRun(call.service);
   const auto calls =
--- a/libs/relay/src/http_parser.cc
+++ b/libs/relay/src/http_parser.cc
@@ -13,7 +13,8 @@
 using boost::beast::iequals;
 using StringView = boost::beast::string_view;
 
-/// Largest block of fields, in bytes; callers stay far below.
+/// Maximum size of all header fields, in bytes; requests of callers are far
+/// smaller.
 constexpr std::uint32_t kMaxHeader = 64 * 1024;
 
 bool IsField(StringView name, const std::string& wanted) {
@@ -30,7 +31,7 @@
   return is_whole ? std::optional<Number>(value) : std::nullopt;
 }
 
-/// Seconds in `timeout=N` of a Keep-Alive field; 0 if not there.
+/// Seconds in `timeout=N` of a Keep-Alive field; 0 if absent.
 std::uint32_t KeepAliveTimeout(StringView value) {
   const std::size_t at = value.find("timeout=");
   if (at == StringView::npos) {
@@ -42,8 +43,8 @@
   return seconds;
 }
 
-/// Fields that concern one connection only (RFC 9110, 7.6.1), and the framing,
-/// which is written anew.
+/// Whether a field applies to one connection only (RFC 9110, section 7.6.1) or
+/// describes the framing, which is generated anew.
 bool IsHopByHop(http::field name) {
   switch (name) {
     case http::field::connection:
@@ -176,8 +177,6 @@
 template class HttpParser<true>;
 template class HttpParser<false>;
 
-// ---- requests ----
-
 void RequestParser::on_request_impl(http::verb /*method*/,
                                     string_view method_text,
                                     string_view target,
@@ -211,7 +210,7 @@
       this->head.time_left_ms = ParseNumber<std::int64_t>(value);
       return;
     }
-    // Callers may not speak for the relay.
+    // Only the relay sets these fields; values sent by callers are dropped.
     if (IsField(name_text, this->names.caller_service) ||
         IsField(name_text, this->names.target_instance)) {
       return;
@@ -233,8 +232,6 @@
   this->DropNominated(this->head.identity_fields);
 }
 
-// ---- answers ----
-
 void AnswerParser::on_request_impl(http::verb /*method*/,
                                    string_view /*method_text*/,
                                    string_view /*target*/,
--- a/libs/relay/src/request_counts.cc
+++ b/libs/relay/src/request_counts.cc
@@ -6,16 +6,16 @@
 
 namespace {
 
-/// Routes that are told apart: the product is made for some hundred. What is
-/// beyond counts as one route, so that a growing policy cannot grow the memory
-/// of a node without end.
+/// Maximum number of routes with their own series; policies are expected to
+/// hold a few hundred. Further routes share one series, so that a growing
+/// policy cannot grow the node's memory without bound.
 constexpr std::size_t kMaxRoutes = 256;
-/// Keys of requests without a route, and of routes beyond the limit; no route
-/// has them, as keys are hashes and 0 means none.
+/// Keys of requests without a route and of routes beyond the limit. They match
+/// no route: route keys are hashes, and 0 means none.
 constexpr std::uint32_t kNoRouteKey = 0;
 constexpr std::uint32_t kOtherRoutesKey = 1;
-/// Client accounts that are told apart in metrics; those that come later count
-/// as one.
+/// Maximum number of client accounts with their own series; later ones share
+/// one.
 constexpr std::size_t kMaxAccounts = 256;
 
 }  // namespace
--- a/libs/relay/tests/bearer_key_test.cc
+++ b/libs/relay/tests/bearer_key_test.cc
@@ -5,7 +5,7 @@
 namespace almondlink::relay {
 namespace {
 
-/// The head of a request with these further fields.
+/// Parses a request with these additional header fields.
 RequestHead HeadOf(const std::string& fields) {
   HeaderNames names;
   names.request_id = "X-Id";
--- a/libs/relay/tests/content_digest_test.cc
+++ b/libs/relay/tests/content_digest_test.cc
@@ -3,8 +3,9 @@
 #include <catch2/catch.hpp>
 #include <vector>
 
-/// What counts as the same request, sent again: nobody may be refused for what
-/// somebody else's request did, nor for another request of his own.
+/// Equal requests must have equal digests and different ones different digests:
+/// otherwise a caller is refused because of another caller's request, or
+/// because of a different request of its own.
 namespace almondlink::relay {
 namespace {
 
@@ -33,7 +34,7 @@
   others[3].target = "/stock/1?size=3";
   others[4].account = "acm";
   others[5].body = "texts";
-  // Bytes that move from one part to the next.
+  // Bytes moved from one field to the next.
   others[6].account = "acmet";
   others[6].body = "ext";
   for (const RequestContent& other : others) {
--- a/libs/relay/tests/http_parser_test.cc
+++ b/libs/relay/tests/http_parser_test.cc
@@ -41,7 +41,7 @@
 }
 
 TEST_CASE("a length that can be read in two ways is refused") {
-  // A request smuggled inside another one.
+  // Such ambiguity allows request smuggling.
   for (const char* fields :
        {"Content-Length: 5\r\nContent-Length: 6\r\n",
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
@@ -73,8 +73,8 @@
 }
 
 TEST_CASE("a malformed trailer is refused, however its bytes come") {
-  // Found by the fuzzer: Beast's own assert ended the process in builds that
-  // had asserts.
+  // Guards against an assertion in Beast that aborted the process on this input
+  // in builds with assertions.
   const std::string text =
       "HTTP/1.1 200 OK\r\nX-Id: 7\r\nTransfer-Encoding: chunked\r\n\r\n"
       "0\r\nabc\r\n\r\r\n\r\n";
@@ -104,7 +104,7 @@
   REQUIRE(parser.head.is_encoded);
   REQUIRE(parser.head.instance_id == "i-2");
   REQUIRE(parser.head.keep_alive_s == 10);
-  // Bytes after it belong to no request; the connection is not used again.
+  // Surplus bytes belong to no request; the connection is not reused.
   REQUIRE(input == "extra");
 }
 
