--- a/libs/relay/src/caller_listener.cc
+++ b/libs/relay/src/caller_listener.cc
@@ -176,7 +176,7 @@
     acceptor.listen(kBacklog, error);
   }
   if (error) {
-    return Fail(ErrorKind::kIo, "cannot listen at " + FormatAddress(address) +
+    return Fail(ErrorKind::kIo, "cannot listen on " + FormatAddress(address) +
                                     ": " + error.message());
   }
   Accept(this->state);
--- a/libs/relay/src/request_counts.cc
+++ b/libs/relay/src/request_counts.cc
@@ -74,7 +74,7 @@
 
 void RequestCounts::Write(MetricText& out) const {
   out.Begin("requests_total", "counter",
-            "Requests of callers and of targets that ended, by how.");
+            "Completed requests of callers and targets, by outcome.");
   for (const auto& [key, counts] : this->routes) {
     const std::string route =
         MetricLabel("route", counts.name) + "," +
@@ -103,10 +103,10 @@
   write_sends("repeats_total", "Sends to a second target after a failure.",
               &RouteCounts::repeats);
   write_sends("moved_total",
-              "Sends to another target after one turned it back unsent.",
+              "Sends to another target after an attempt did not reach one.",
               &RouteCounts::moves);
   out.Begin("account_requests_total", "counter",
-            "Root requests of client accounts that ended, by how.");
+            "Completed root requests of client accounts, by outcome.");
   for (const auto& [account, outcomes] : this->accounts) {
     for (const auto& [outcome, count] : outcomes) {
       out.Add(MetricLabel("account", account) + "," +
@@ -114,12 +114,13 @@
               static_cast<double>(count));
     }
   }
-  out.Begin("request_ms", "histogram", "Time from a request to its end.");
+  out.Begin("request_ms", "histogram",
+            "Time from arrival to completion of a request.");
   for (const auto& [key, counts] : this->routes) {
     out.AddHistogram(MetricLabel("route", counts.name), counts.latency);
   }
   out.Begin("added_ms", "histogram",
-            "Time of an answered request that was not its target's.");
+            "Time of an answered request not spent at its target.");
   out.AddHistogram("", this->added_latency);
 }
 
