--- a/libs/relay/src/entry_accounts.cc
+++ b/libs/relay/src/entry_accounts.cc
@@ -159,7 +159,7 @@
   return !limit.has_value() || now - this->last_policy_contact <= *limit;
 }
 
-/// Whether the call's key still names its account in the policy in force.
+/// Whether the key of the call still names its account in the policy in force.
 bool EntryCalls::IsKeyStillValid(const Call& call) const {
   if (call.account == nullptr || call.table == this->table) {
     return true;
