--- a/libs/relay/include/almondlink/relay/entry_calls.h
+++ b/libs/relay/include/almondlink/relay/entry_calls.h
@@ -16,34 +16,38 @@
 #include "almondlink/control/repeat_allowance.h"
 #include "almondlink/control/weighted_round_robin.h"
 #include "almondlink/policy/route_table.h"
+#include "almondlink/relay/caller_listener.h"
 #include "almondlink/relay/caller_port.h"
-#include "almondlink/relay/peer_table.h"
 #include "almondlink/relay/quarantine_exchange.h"
 #include "almondlink/relay/quota_exchange.h"
 #include "almondlink/relay/relay_settings.h"
 #include "almondlink/relay/request_counts.h"
 
-/// Requests of the callers on this host: which route, whether let in, to which
-/// target, whether once more, and the one answer.
+/// Handles the requests of callers on this host: routing, authentication,
+/// quota, admission, choice of target, repeats, and the answer.
 ///
-/// A request is dispatched by the node that took it and by no other, so a
-/// request that may run once needs no agreement: it is sent on at most once
-/// after a send whose outcome is unknown, and *not run* is said only if no
-/// target got a byte of it or every target that did said so itself.
+/// Only the node that received a request dispatches it, so a request that may
+/// run only once needs no agreement between nodes. Such a request is not sent
+/// again after a send with an unknown outcome. *Not run* is reported only if no
+/// target received a byte of the request or every target that did stated so
+/// itself.
 namespace almondlink::relay {
 
-/// Trials of requests that targets ended under, for metrics.
+/// Counts of trial runs of quarantined requests, for metrics. A request is
+/// quarantined if targets have crashed while running it.
 struct TrialCounts {
   std::uint64_t begun = 0;
-  /// Requests that were not sent because of it.
+  /// Requests refused because of the quarantine.
   std::uint64_t refused = 0;
-  /// Trials by what came of them.
-  std::map<std::string, std::uint64_t> ended;
+  /// Finished trials by outcome.
+  std::map<std::string, std::uint64_t> by_outcome;
 };
 
-/// Not thread safe: belongs to one loop.
+/// Dispatches the requests of one event loop. Not thread safe: belongs to that
+/// loop.
 class EntryCalls {
  public:
+  /// All arguments must outlive the object.
   EntryCalls(const RelaySettings& settings,
              PeerTable& peers,
              ServedCalls& served);
@@ -51,146 +55,162 @@
   EntryCalls(const EntryCalls&) = delete;
   EntryCalls& operator=(const EntryCalls&) = delete;
 
+  /// Installs a policy. Calls in progress keep the one that they began with.
   void SetTable(policy::RouteTablePointer table);
+  /// The policy in force; null before the first SetTable.
   const policy::RouteTablePointer& Table() const { return this->table; }
 
-  /// Takes a request of a caller.
+  /// Handles a complete request of a caller.
   void OnRequest(RequestHead head,
                  std::string body,
                  const CallerExchangePointer& exchange);
 
-  /// Loans of quotas between nodes.
+  /// Exchange of quota loans between nodes.
   QuotaExchange& Quotas() { return this->quotas; }
-  /// Requests that targets ended under, between nodes.
-  QuarantineExchange& Blame() { return this->blame; }
+  /// Exchange of quarantine records between nodes.
+  QuarantineExchange& Quarantine() { return this->quarantine; }
   const TrialCounts& Trials() const { return this->trials; }
 
-  /// Frames from the node beside a target.
+  /// Handles the answer to a call, from the node beside its target.
   void OnAnswer(const PeerPointer& peer, const AnswerFrame& frame);
+  /// Handles a further part of a streamed answer.
   void OnPart(const PeerPointer& peer, const DataFrame& frame);
-  /// The link to a node is gone, and with it the attempts there.
+  /// Fails the attempts at a node whose link was lost.
   void OnLinkLost(const PeerPointer& peer);
 
-  /// The node does not answer on an open link.
+  /// Moves repeatable calls away from a node that does not respond although its
+  /// link is open.
   void OnSuspect(const PeerPointer& peer);
 
-  /// What another node was told by an earlier start of this one.
-  void TakeMemory(const std::vector<ServiceRepeats>& told);
+  /// Restores the repeat counts that an earlier incarnation of this node
+  /// reported to a peer. Ignored if this process has run for a whole repeat
+  /// window.
+  void RestoreRepeatCounts(const std::vector<ServiceRepeats>& reported);
 
-  /// Time-outs; call every few tens of milliseconds.
+  /// Handles timeouts and retries waiting calls. Call every few tens of
+  /// milliseconds.
   void Sweep(Millis now);
-  /// Works the admission out anew; call every 100 ms.
+  /// Recomputes the admission shares. Call every 100 ms.
   void UpdateAdmission(Millis now);
 
-  /// Ends all calls that are still open, because the process ends.
+  /// Answers all open calls as timed out, for process shutdown.
   void EndAll();
 
   std::size_t OpenCalls() const { return this->calls.size(); }
   const RequestCounts& Counts() const { return this->counts; }
   const control::ChainAdmission& Admission() const { return this->admission; }
-  /// Name of a route of the policy in force; its number if it is no longer in.
+  /// Name of a request class of the policy in force; its number if the policy
+  /// no longer contains it.
   std::string RouteName(std::uint32_t key) const;
-  /// Counts of the services whose requests were sent once more lately.
-  std::vector<ServiceRepeats> OwnRepeats(Millis now);
-  /// What this node may repeat within the window, and has, by service.
-  std::map<std::string, control::RepeatCapacity> RepeatRooms(Millis now);
-  /// Repeats that were asked for and not given, by service.
+  /// Repeat counts of this node, of the services with repeats in the current
+  /// window.
+  std::vector<ServiceRepeats> OwnRepeatCounts(Millis now);
+  /// Permitted and used repeats of this node in the current window, by service.
+  std::map<std::string, control::RepeatCapacity> RepeatCapacities(Millis now);
+  /// Repeats denied by the repeat allowance, by service.
   const std::map<std::string, std::uint64_t>& RepeatsDenied() const {
     return this->repeats_denied;
   }
-  /// Root requests refused at entry, by the service that had no room.
-  const std::map<std::string, std::uint64_t>& RefusedFor() const {
-    return this->refused_for;
+  /// Root requests refused at entry, by the service that lacked capacity.
+  const std::map<std::string, std::uint64_t>& RefusalsByService() const {
+    return this->refusals_by_service;
   }
-  /// Whether a route's share is bound by that service.
-  bool IsShort(const std::string& service) const;
+  /// Whether the service limits the admitted share of a route.
+  bool IsBottleneck(const std::string& service) const;
 
  private:
   struct Call;
   using CallPointer = std::shared_ptr<Call>;
 
+  /// The part of the route that the request goes to; null if there is none.
   const policy::RoutePart* ChoosePart(const policy::Route& route);
-  bool TakeRoute(const CallPointer& call);
-  void TakeChain(const CallPointer& call);
-  /// Whether the request may be made by who makes it; answers it if not.
-  bool Identify(const CallPointer& call);
-  bool IdentifyByKey(const CallPointer& call);
-  void RefuseKey(const CallPointer& call,
-                 std::uint32_t status,
-                 const char* reason);
-  void NoteSource(Millis now);
-  bool MayBeBehind() const;
-  bool CanVouch(Millis now) const;
-  bool IsStillKnown(const Call& call) const;
-  static bool IsLimited(const Call& call);
-  /// Whether its account may make the request now; false: it was answered, or
-  /// waits.
-  bool TakeQuota(const CallPointer& call);
+  bool ResolveRoute(const CallPointer& call);
+  void SetDeadlineAndChain(const CallPointer& call);
+  /// Checks the caller's credentials. Returns false if the request was refused
+  /// and answered.
+  bool Authenticate(const CallPointer& call);
+  bool AuthenticateByKey(const CallPointer& call);
+  void RefuseAuthentication(const CallPointer& call,
+                            std::uint32_t status,
+                            const char* reason);
+  void RecordPolicyContact(Millis now);
+  bool MayHaveStalePolicy() const;
+  bool CanTrustPolicy(Millis now) const;
+  bool IsKeyStillValid(const Call& call) const;
+  static bool HasQuota(const Call& call);
+  /// Takes a quota token. Returns false if the call was refused and answered,
+  /// or waits for a token.
+  bool AcquireQuota(const CallPointer& call);
   void RefuseOverQuota(const CallPointer& call);
   void ServeQuotaWaiters(policy::AccountKey account);
   void SweepQuotaWaiters();
-  void SetClass(const policy::Route& route,
-                std::optional<std::uint32_t> account_priority);
+  void SetClassPriority(const policy::Route& route,
+                        std::optional<std::uint32_t> account_priority);
   void NameClass(std::uint32_t key,
                  const policy::Route& route,
                  std::optional<std::uint32_t> account_priority);
-  void Open(const CallPointer& call);
+  void Register(const CallPointer& call);
   void Admit(const CallPointer& call);
   bool AdmitRoot(const CallPointer& call);
   void Attempt(const CallPointer& call);
-  static bool IsOpen(const Peer& peer);
+  static bool IsTargetAvailable(const Peer& peer);
   PeerPointer ChoosePeer(const Call& call, bool is_among_refused);
   PeerPointer NextPeer(const Call& call);
-  double FailingOfOthers(const Call& call, const PeerPointer& peer);
-  bool MayMakeGood(const Call& call, const PeerPointer& peer);
+  double MeanFailureRateOfOthers(const Call& call, const PeerPointer& peer);
+  bool CanRepeatHelp(const Call& call, const PeerPointer& peer);
   double CallsPerRun(const std::string& service);
-  bool NoteOutcome(const Call& call,
-                   const PeerPointer& peer,
-                   const AnswerFrame& frame);
-  control::RepeatCounts SharedCounts(Millis now, const std::string& service);
-  /// Whether the call is kept until its service has a target again.
-  bool WaitsForTarget(const CallPointer& call);
+  bool UpdateTargetHealth(const Call& call,
+                          const PeerPointer& peer,
+                          const AnswerFrame& frame);
+  control::RepeatCounts SumRepeatCounts(Millis now, const std::string& service);
+  /// Queues a call that was not sent yet until its service has a target.
+  /// Returns false if it may not wait any longer.
+  bool QueueForTarget(const CallPointer& call);
   void RetryWaiting();
   void SendTo(const CallPointer& call, const PeerPointer& peer);
   void OnFailedAttempt(const CallPointer& call,
                        CallOutcome outcome,
                        CallReason reason);
-  bool MayRepeat(Millis now, const Call& call, CallReason after);
+  bool AcquireRepeat(Millis now, const Call& call, CallReason after);
   control::RequestDigest DigestOf(const Call& call) const;
-  /// The target's process ended while it ran the call.
-  void NoteTargetEnd(const CallPointer& call, const PeerPointer& peer);
-  void NoteLeft(const CallPointer& call);
-  void OnEndAfterLeft(const PeerPointer& peer, std::uint32_t id);
-  /// The target answered the call, so it lived through it.
-  void NoteWholeRun(const CallPointer& call);
-  bool MayBeBlamed(const Call& call) const;
-  bool IsHeld(const Call& call) const;
-  bool HasOpenTarget(const std::string& service);
-  bool PassBlame(const CallPointer& call);
-  void RefuseBlamed(const CallPointer& call,
-                    const control::RequestDigest& digest,
-                    Millis wait);
+  /// Records that the target's process crashed while it ran the call.
+  void RecordTargetCrash(const CallPointer& call, const PeerPointer& peer);
+  void RecordAbandoned(const CallPointer& call);
+  void OnCrashAfterAbandon(const PeerPointer& peer, std::uint32_t id);
+  /// Records that the target completed the call without a crash.
+  void RecordCompletion(const CallPointer& call);
+  bool MayBeQuarantined(const Call& call) const;
+  bool IsQuarantined(const Call& call) const;
+  bool HasAvailableTarget(const std::string& service);
+  bool CheckQuarantine(const CallPointer& call);
+  void RefuseQuarantined(const CallPointer& call,
+                         const control::RequestDigest& digest,
+                         Millis wait);
   void OnTrialPermitted(const control::RequestDigest& digest,
                         const std::string& node);
   void EndTrial(const CallPointer& call, const char* outcome);
   void DetachCaller(const CallPointer& call);
   void MoveFromSuspect(const CallPointer& call);
-  /// Moves the call to a peer, or to none, and counts.
+  /// Assigns the call to a peer, or to none, and updates the peers' outstanding
+  /// counts.
   static void Assign(const CallPointer& call, const PeerPointer& peer);
-  void PassAnswer(const CallPointer& call, const AnswerFrame& frame);
+  void ForwardAnswer(const CallPointer& call, const AnswerFrame& frame);
   void RefuseNotRun(const CallPointer& call, CallReason reason, Millis wait);
   void FinishFailed(const CallPointer& call, CallReason reason);
-  void NoteRan(const Call& call);
+  void RecordRunCounts(const Call& call);
   void Finish(const CallPointer& call);
-  void NoteEnd(const Call& call, RequestEnd end, CallReason reason);
-  void DropAttempt(const CallPointer& call);
+  void CountOutcome(const Call& call,
+                    RequestOutcome outcome,
+                    CallReason reason);
+  void CancelAttempt(const CallPointer& call);
   void Abandon(const CallPointer& call);
   void TimeOut(const CallPointer& call);
-  control::RepeatRules Repeats() const;
+  control::RepeatRules CurrentRepeatRules() const;
   control::RepeatAllowance& AllowanceOf(const std::string& service);
-  void LogShares();
-  /// Id of the request that the call was made for; empty for a root.
+  void LogShareChanges();
+  /// Id of the request that made this call; empty for a root request.
   std::string ParentOf(const Call& call) const;
+  /// A random number from 0 to below 1.
   double Draw();
   Millis RetryAfter(const Call& call);
 
@@ -200,41 +220,43 @@
   policy::RouteTablePointer table;
   control::ChainAdmission admission;
   QuotaExchange quotas;
-  /// Requests that wait for a token of their account, in order, by account.
+  /// Calls that wait for a quota token, in order of arrival, by account.
   std::map<policy::AccountKey, std::deque<std::weak_ptr<Call>>> quota_waiters;
-  /// When the source of the policy was known to be in reach last.
-  Millis vouched;
-  /// When the policy in force was taken.
-  Millis table_taken;
-  /// Names of the classes of requests that were seen, by their number.
+  /// When the source of the policy was last known to be reachable.
+  Millis last_policy_contact;
+  /// When the policy in force was installed.
+  Millis table_set_at;
+  /// Names of the known request classes, by number.
   std::unordered_map<std::uint32_t, std::string> class_names;
   std::unordered_map<std::string, control::RepeatAllowance> allowances;
-  /// What peers remember of an earlier start, by service, until it is used.
-  std::map<std::uint32_t, control::RepeatCounts> remembered;
-  bool has_memory = false;
+  /// Repeat counts of an earlier incarnation, by service, until they are used.
+  std::map<std::uint32_t, control::RepeatCounts> restored_counts;
+  bool has_restored_counts = false;
   std::map<std::string, std::uint64_t> repeats_denied;
-  std::map<std::string, std::uint64_t> refused_for;
-  /// Running sums of the weighted choice, by route.
+  std::map<std::string, std::uint64_t> refusals_by_service;
+  /// State of the weighted selection, by route.
   std::unordered_map<std::uint32_t, control::WeightedRoundRobin> part_turns;
   std::unordered_map<std::uint32_t, CallPointer> calls;
-  std::set<std::pair<std::int64_t, std::uint32_t>> ends;
-  /// Shares as the log last told them.
+  std::set<std::pair<std::int64_t, std::uint32_t>> timeouts;
+  /// Shares as last logged.
   std::map<std::uint32_t, double> logged_shares;
   std::uint32_t last_id = 0;
-  /// When each service last had a target, and calls that wait for one.
-  std::unordered_map<std::string, Millis> last_open;
-  std::vector<std::weak_ptr<Call>> waiting;
-  Millis started;
+  /// When each service last had an available target, and the calls that wait
+  /// for a target or for their trial.
+  std::unordered_map<std::string, Millis> last_available;
+  std::vector<std::weak_ptr<Call>> waiting_calls;
+  Millis started_at;
   std::mt19937 random;
   RequestCounts counts;
-  QuarantineExchange blame;
-  /// Calls whose callers left while a target ran them: it may yet end.
-  struct LeftCall {
+  QuarantineExchange quarantine;
+  /// Calls whose callers disconnected while a target ran them. They are kept
+  /// for a while because the target may still crash.
+  struct AbandonedCall {
     CallPointer call;
     PeerPointer peer;
-    Millis at;
+    Millis abandoned_at;
   };
-  std::deque<LeftCall> left;
+  std::deque<AbandonedCall> abandoned;
   TrialCounts trials;
 };
 
--- a/libs/relay/include/almondlink/relay/relay_node.h
+++ b/libs/relay/include/almondlink/relay/relay_node.h
@@ -14,7 +14,7 @@
 #include "almondlink/base/metrics.h"
 #include "almondlink/control/instance_tracker.h"
 #include "almondlink/policy/route_table.h"
-#include "almondlink/relay/caller_port.h"
+#include "almondlink/relay/caller_listener.h"
 #include "almondlink/relay/entry_calls.h"
 #include "almondlink/relay/peer_table.h"
 #include "almondlink/relay/relay_settings.h"
@@ -77,15 +77,15 @@
   /// Merges a stored record of a confirmed query of death.
   void RestoreQuarantine(const control::RequestDigest& digest,
                          const control::QuarantineRecord& record) {
-    this->entry.Blame().MergeStored(digest, record);
+    this->entry.Quarantine().MergeStored(digest, record);
   }
 
   /// See QuarantineExchange.
   std::string ListQuarantined() {
-    return this->entry.Blame().ListQuarantined(BootTimeNow());
+    return this->entry.Quarantine().ListQuarantined(BootTimeNow());
   }
   bool LiftQuarantine(const std::string& digest) {
-    return this->entry.Blame().Lift(digest);
+    return this->entry.Quarantine().Lift(digest);
   }
 
   /// Adds or updates another node. True if it was not known.
@@ -164,7 +164,7 @@
   ServedCalls served;
   PeerTable peers;
   EntryCalls entry;
-  CallerPort callers;
+  CallerListener callers;
   boost::asio::steady_timer tick_timer;
   std::string policy_text;
   /// When the policy in force was applied.
--- a/libs/relay/include/almondlink/relay/request_counts.h
+++ b/libs/relay/include/almondlink/relay/request_counts.h
@@ -11,54 +11,55 @@
 #include "almondlink/policy/route_table.h"
 #include "almondlink/relay/peer_frames.h"
 
-/// What became of the requests that one node took from callers, by route, for
-/// metrics.
+/// Counts the outcomes of the requests that one node received from callers, by
+/// route, for metrics.
 namespace almondlink::relay {
 
-/// How a request ended. Each request ends exactly once.
-enum class RequestEnd : std::uint8_t {
-  /// A target answered with success, or with a failure of its own.
+/// Outcome of a request. Each request has exactly one.
+enum class RequestOutcome : std::uint8_t {
+  /// A target answered, with a success or with an error of its own.
   kServed,
   kFailedByTarget,
-  /// Refused before anything was sent, and given up without having run.
+  /// Refused before anything was sent, or abandoned without having run.
   kRefusedAtEntry,
   kNotRun,
-  /// It may have run: no answer in time, or none at all.
+  /// The request may have run: there was no answer in time, or none at all.
   kTimedOut,
   kUnknown,
   kNoRoute,
   kCallerLeft,
-  /// No account holds the key, or there is none where one is needed.
+  /// Authentication failed: no account has the key, a required key is missing
+  /// or malformed, or the node could not verify it.
   kUnknownKey,
-  /// Beyond the quota of its account.
+  /// Refused because its account has exhausted its quota.
   kOverQuota,
 };
 
-/// Name of an end in metrics.
-const char* ToString(RequestEnd end);
+/// Label of the outcome in metrics.
+const char* ToString(RequestOutcome outcome);
 
-/// Not thread safe: belongs to one loop.
+/// Counters of one event loop. Not thread safe: belongs to that loop.
 class RequestCounts {
  public:
-  /// Counts the end of a request; `route` is null if none was found.
-  void NoteEnd(const policy::Route* route,
-               bool is_root,
-               RequestEnd end,
-               CallReason reason,
-               LatencyMs took);
+  /// Counts a request and its outcome. `route` is null if no route matched.
+  void CountRequest(const policy::Route* route,
+                    bool is_root,
+                    RequestOutcome outcome,
+                    CallReason reason,
+                    LatencyMs latency);
 
-  /// Counts the end of a root request of a client account.
-  void NoteAccount(const std::string& account, RequestEnd end);
+  /// Counts a root request of a client account and its outcome.
+  void CountAccountRequest(const std::string& account, RequestOutcome outcome);
 
-  /// Counts a send to a second target, or to another after one turned it back
-  /// unsent.
-  void NoteRepeat(const policy::Route& route, CallReason after);
-  void NoteMove(const policy::Route& route, CallReason after);
+  /// CountRepeat counts a send to a second target after a failure; CountMove
+  /// counts a send to another target after one returned the request unsent.
+  void CountRepeat(const policy::Route& route, CallReason after);
+  void CountMove(const policy::Route& route, CallReason after);
 
-  /// Counts the time that the nodes added to an answered request.
-  void NoteAdded(LatencyMs added) { this->added.Add(added); }
+  /// Records the latency that the nodes added to an answered request.
+  void RecordAddedLatency(LatencyMs added) { this->added_latency.Add(added); }
 
-  /// Appends all series in the text exposition format.
+  /// Appends all series in the Prometheus text exposition format.
   void Write(MetricText& out) const;
 
  private:
@@ -67,19 +68,20 @@
   struct RouteCounts {
     std::string name;
     bool is_repeatable = false;
-    /// By end and reason, of requests and of calls that targets make.
-    std::map<std::pair<RequestEnd, CallReason>, std::uint64_t> roots;
-    std::map<std::pair<RequestEnd, CallReason>, std::uint64_t> calls;
+    /// Counts by outcome and reason, of root requests and of calls that targets
+    /// make.
+    std::map<std::pair<RequestOutcome, CallReason>, std::uint64_t> roots;
+    std::map<std::pair<RequestOutcome, CallReason>, std::uint64_t> calls;
     Reasons repeats;
     Reasons moves;
-    LatencyHistogram took;
+    LatencyHistogram latency;
   };
 
-  RouteCounts& Of(const policy::Route* route);
+  RouteCounts& CountsFor(const policy::Route* route);
 
   std::unordered_map<std::uint32_t, RouteCounts> routes;
-  std::map<std::string, std::map<RequestEnd, std::uint64_t>> accounts;
-  LatencyHistogram added;
+  std::map<std::string, std::map<RequestOutcome, std::uint64_t>> accounts;
+  LatencyHistogram added_latency;
 };
 
 }  // namespace almondlink::relay
--- a/libs/relay/src/entry_admission.cc
+++ b/libs/relay/src/entry_admission.cc
@@ -8,17 +8,17 @@
 #include "almondlink/relay/entry_calls.h"
 #include "entry_call.h"
 
-/// Whether there is room for a root request; almondlink/control/
-/// chain_admission.h works the shares out.
+/// Admission of root requests. The shares are computed in
+/// almondlink/control/chain_admission.h.
 namespace almondlink::relay {
 
 namespace {
 
-/// Advice when to come back if nothing is known of the route, and the shortest.
-constexpr Millis kShortestWait{300};
-constexpr Millis kShortestReturn{50};
-/// Change of a share that is worth a line in the log.
-constexpr double kLoggedStep = 0.1;
+/// Retry-After if the route is not known, and the minimum.
+constexpr Millis kDefaultRetryAfter{300};
+constexpr Millis kMinRetryAfter{50};
+/// Minimum change of a share that is logged.
+constexpr double kLoggedShareStep = 0.1;
 
 }  // namespace
 
@@ -45,9 +45,9 @@
               {"retry_after_ms", std::to_string(wait.count)}});
   }
   const auto bound = this->admission.routes.find(call->info.root_route);
-  ++this->refused_for[bound == this->admission.routes.end()
-                          ? std::string()
-                          : bound->second.limiting_service];
+  ++this->refusals_by_service[bound == this->admission.routes.end()
+                                  ? std::string()
+                                  : bound->second.limiting_service];
   call->is_refused_at_entry = true;
   if (call->id != 0) {
     this->Finish(call);
@@ -56,7 +56,7 @@
   return false;
 }
 
-bool EntryCalls::IsShort(const std::string& service) const {
+bool EntryCalls::IsBottleneck(const std::string& service) const {
   return std::any_of(this->admission.routes.begin(),
                      this->admission.routes.end(),
                      [&service](const auto& route) {
@@ -65,70 +65,70 @@
                      });
 }
 
-/// When a refused caller should come back: early enough that an answer then is
-/// still worth its whole value, and spread, so that those refused together do
-/// not return together. Longer waits were measured (docs/RESULTS.md): callers
-/// come back in any case, and what they get is late.
+/// Time after which a refused caller should return: early enough that an answer
+/// then is still useful in full, and spread so that callers refused together do
+/// not return together. Longer waits did not help (docs/RESULTS.md): callers
+/// return in any case, and the answers they get are late.
 Millis EntryCalls::RetryAfter(const Call& call) {
   if (call.route == nullptr) {
-    return kShortestWait;
+    return kDefaultRetryAfter;
   }
   const double middle = this->settings.decisions.return_part *
                         static_cast<double>(call.route->latency_target.count);
   const Millis spread{static_cast<std::int64_t>(middle * (0.5 + this->Draw()))};
-  return std::max(kShortestReturn, spread);
+  return std::max(kMinRetryAfter, spread);
 }
 
 void EntryCalls::UpdateAdmission(Millis now) {
-  this->NoteSource(now);
+  this->RecordPolicyContact(now);
   control::UpdateRootRates(now, this->admission);
   const DecisionRules& rules = this->settings.decisions;
   const bool counts_errors = rules.error_targets > 0;
-  std::map<std::string, control::ServiceCapacity> rooms;
+  std::map<std::string, control::ServiceCapacity> capacities;
   std::map<std::uint32_t, control::RootTotals> roots;
   for (const PeerPointer& peer : this->peers.All()) {
     if (!peer->IsReachable()) {
       continue;
     }
-    const StateFrame& told = peer->reported;
+    const StateFrame& state = peer->reported;
     const std::vector<control::RootRate> rates =
-        peer->is_self ? control::LocalRootRates(this->admission) : told.roots;
+        peer->is_self ? control::LocalRootRates(this->admission) : state.roots;
     for (const control::RootRate& rate : rates) {
       control::AddRootRate(rate, roots);
     }
-    if (told.instance.empty()) {
+    if (state.instance.empty()) {
       continue;
     }
     control::TargetCapacity target;
     const bool is_open =
-        told.state == InstanceState::kReady && !told.is_stopping;
-    target.slots = is_open ? told.slots : 0;
+        state.state == InstanceState::kReady && !state.is_stopping;
+    target.slots = is_open ? state.slots : 0;
     if (is_open) {
-      this->last_open[told.service] = now;
+      this->last_available[state.service] = now;
     }
-    target.waiting = told.waiting;
-    target.work_ms = told.work_ms;
-    target.error_rate = counts_errors ? told.error_rate : 0;
-    target.demand = told.demand;
-    control::ServiceCapacity& room = rooms[told.service];
-    room.service = told.service;
-    room.key = ServiceKeyOf(told.service);
-    room.targets.push_back(std::move(target));
+    target.waiting = state.waiting;
+    target.work_ms = state.work_ms;
+    target.error_rate = counts_errors ? state.error_rate : 0;
+    target.demand = state.demand;
+    control::ServiceCapacity& capacity = capacities[state.service];
+    capacity.service = state.service;
+    capacity.key = ServiceKeyOf(state.service);
+    capacity.targets.push_back(std::move(target));
   }
   std::vector<control::ServiceCapacity> services;
-  services.reserve(rooms.size());
-  for (auto& [service, room] : rooms) {
-    services.push_back(std::move(room));
+  services.reserve(capacities.size());
+  for (auto& [service, capacity] : capacities) {
+    services.push_back(std::move(capacity));
   }
   control::UpdateShares(rules.admission, services, roots, this->admission);
-  this->LogShares();
+  this->LogShareChanges();
 }
 
-/// A line when a share has moved by a tenth since the last line.
-void EntryCalls::LogShares() {
+/// Logs each share that has moved by kLoggedShareStep since it was last logged.
+void EntryCalls::LogShareChanges() {
   for (const auto& [route, state] : this->admission.routes) {
     const auto [logged, is_new] = this->logged_shares.emplace(route, 1.0);
-    if (std::abs(logged->second - state.share) >= kLoggedStep) {
+    if (std::abs(logged->second - state.share) >= kLoggedShareStep) {
       logged->second = state.share;
       LogEvent(kEventShareChanged,
                {{"route", this->RouteName(route)},
--- a/libs/relay/src/entry_repeats.cc
+++ b/libs/relay/src/entry_repeats.cc
@@ -4,82 +4,84 @@
 #include "almondlink/relay/entry_calls.h"
 #include "entry_call.h"
 
-/// Whether a request is sent once more: the bound on repeats, and what they are
-/// good for.
+/// Decides whether a request is repeated: the repeat allowance, and whether a
+/// repeat can help.
 namespace almondlink::relay {
 
 namespace {
 
-/// Calls for each run above which a service counts as one that makes calls.
-constexpr double kMakesCalls = 0.5;
-/// Part of their answers that are failures above which targets fail for a
-/// reason that they share; single failures are far rarer.
-constexpr double kOftenErring = 0.1;
-/// Time left below which a request is not sent once more.
-constexpr Millis kLeastForRepeat{30};
+/// Mean calls per run above which a service counts as one that makes calls.
+constexpr double kMinCallsPerRun = 0.5;
+/// Mean error rate above which targets fail for a shared reason; isolated
+/// errors are far rarer.
+constexpr double kSharedErrorRate = 0.1;
+/// Minimum time to the deadline for a repeat.
+constexpr Millis kMinTimeForRepeat{30};
 
 }  // namespace
 
-control::RepeatRules EntryCalls::Repeats() const {
+control::RepeatRules EntryCalls::CurrentRepeatRules() const {
   control::RepeatRules rules = this->settings.repeats;
   rules.nodes = std::max<std::uint32_t>(
       1, static_cast<std::uint32_t>(this->peers.All().size()));
-  rules.is_restarted =
-      !this->has_memory && BootTimeNow() - this->started < rules.window;
+  rules.is_restarted = !this->has_restored_counts &&
+                       BootTimeNow() - this->started_at < rules.window;
   return rules;
 }
 
 control::RepeatAllowance& EntryCalls::AllowanceOf(const std::string& service) {
   control::RepeatAllowance& allowance = this->allowances[service];
-  const auto told = this->remembered.find(ServiceKeyOf(service));
-  if (told != this->remembered.end()) {
-    control::RestoreCounts(this->Repeats(), BootTimeNow(), told->second,
-                           allowance);
-    this->remembered.erase(told);
+  const auto restored = this->restored_counts.find(ServiceKeyOf(service));
+  if (restored != this->restored_counts.end()) {
+    control::RestoreCounts(this->CurrentRepeatRules(), BootTimeNow(),
+                           restored->second, allowance);
+    this->restored_counts.erase(restored);
   }
   return allowance;
 }
 
-void EntryCalls::TakeMemory(const std::vector<ServiceRepeats>& told) {
-  if (BootTimeNow() - this->started >= this->settings.repeats.window) {
+void EntryCalls::RestoreRepeatCounts(
+    const std::vector<ServiceRepeats>& reported) {
+  if (BootTimeNow() - this->started_at >= this->settings.repeats.window) {
     return;
   }
-  this->has_memory = true;
-  for (const ServiceRepeats& entry : told) {
-    this->remembered[entry.service] = entry.counts;
+  this->has_restored_counts = true;
+  for (const ServiceRepeats& entry : reported) {
+    this->restored_counts[entry.service] = entry.counts;
   }
 }
 
-std::map<std::string, control::RepeatCapacity> EntryCalls::RepeatRooms(
+std::map<std::string, control::RepeatCapacity> EntryCalls::RepeatCapacities(
     Millis now) {
-  const control::RepeatRules rules = this->Repeats();
-  std::map<std::string, control::RepeatCapacity> rooms;
+  const control::RepeatRules rules = this->CurrentRepeatRules();
+  std::map<std::string, control::RepeatCapacity> capacities;
   for (auto& [service, allowance] : this->allowances) {
-    rooms[service] = control::CapacityForRepeats(rules, now, allowance);
+    capacities[service] = control::CapacityForRepeats(rules, now, allowance);
   }
-  return rooms;
+  return capacities;
 }
 
-std::vector<ServiceRepeats> EntryCalls::OwnRepeats(Millis now) {
-  const control::RepeatRules rules = this->Repeats();
-  std::vector<ServiceRepeats> told;
+std::vector<ServiceRepeats> EntryCalls::OwnRepeatCounts(Millis now) {
+  const control::RepeatRules rules = this->CurrentRepeatRules();
+  std::vector<ServiceRepeats> own;
   for (auto& [service, allowance] : this->allowances) {
     const control::RepeatCounts counts =
         control::WindowCounts(rules, now, allowance);
     if (counts.repeats > 0) {
-      told.push_back({ServiceKeyOf(service), counts});
+      own.push_back({ServiceKeyOf(service), counts});
     }
   }
-  return told;
+  return own;
 }
 
-/// Sums over the nodes that repeat requests of the service. Those that do not
-/// tell nothing: without their requests the bound is lower than it might be.
-control::RepeatCounts EntryCalls::SharedCounts(Millis now,
-                                               const std::string& service) {
+/// Sums the counts of the nodes that repeat requests of the service. Nodes
+/// without repeats report nothing; without their requests the bound is lower
+/// than it could be.
+control::RepeatCounts EntryCalls::SumRepeatCounts(Millis now,
+                                                  const std::string& service) {
   const std::uint32_t key = ServiceKeyOf(service);
-  control::RepeatCounts sums =
-      control::WindowCounts(this->Repeats(), now, this->AllowanceOf(service));
+  control::RepeatCounts sums = control::WindowCounts(
+      this->CurrentRepeatRules(), now, this->AllowanceOf(service));
   for (const PeerPointer& peer : this->peers.All()) {
     if (peer->is_self || !peer->IsReachable()) {
       continue;
@@ -96,26 +98,26 @@
   return sums;
 }
 
-/// Whether a failure that a target answered may be the target's own. A run that
-/// makes calls fails with them: where the other targets of its service fail as
-/// well, something below them does, and another run would take its repeats from
-/// the requests that can still be made whole.
-bool EntryCalls::MayMakeGood(const Call& call, const PeerPointer& peer) {
-  if (this->CallsPerRun(call.service) < kMakesCalls) {
+/// Whether an error answer may be the target's own fault, so that a repeat
+/// elsewhere can help. A request that makes calls fails if they fail: if the
+/// other targets of the service fail too, the cause lies below them, and a
+/// repeat would use allowance that other requests could still succeed with.
+bool EntryCalls::CanRepeatHelp(const Call& call, const PeerPointer& peer) {
+  if (this->CallsPerRun(call.service) < kMinCallsPerRun) {
     return true;
   }
   double sum = 0;
   std::uint32_t others = 0;
   for (const PeerPointer& other : this->peers.PeersOfService(call.service)) {
-    if (other != peer && IsOpen(*other)) {
+    if (other != peer && IsTargetAvailable(*other)) {
       sum += other->health.error_rate;
       ++others;
     }
   }
-  return others == 0 || sum / others < kOftenErring;
+  return others == 0 || sum / others < kSharedErrorRate;
 }
 
-/// Calls that a run of the service makes, at the target that makes most.
+/// Mean calls per run of the service, at the target with the most.
 double EntryCalls::CallsPerRun(const std::string& service) {
   double calls = 0;
   for (const PeerPointer& peer : this->peers.PeersOfService(service)) {
@@ -124,14 +126,15 @@
   return calls;
 }
 
-bool EntryCalls::MayRepeat(Millis now, const Call& call, CallReason after) {
+bool EntryCalls::AcquireRepeat(Millis now, const Call& call, CallReason after) {
   if (call.attempts >= this->settings.decisions.repeat_sends ||
-      call.deadline - now < kLeastForRepeat) {
+      call.deadline - now < kMinTimeForRepeat) {
     return false;
   }
-  // A run that makes calls repeats them too, so it takes so much less of the
-  // bound that the sum over all services of a chain stays within it.
-  control::RepeatRules rules = this->Repeats();
+  // A repeated run also repeats its calls. Its share of the allowance is
+  // reduced accordingly, so that the sum over all services of a chain stays
+  // within the bound.
+  control::RepeatRules rules = this->CurrentRepeatRules();
   rules.usable_share /= 1 + this->CallsPerRun(call.service);
   const auto calls =
       this->admission.observed_calls.find({call.service, call.info.root_route});
@@ -145,13 +148,13 @@
   want.root_hash = call.info.root_hash;
   const double place = control::RepeatRank(want);
   if (!control::HasSharedCapacity(rules,
-                                  this->SharedCounts(now, call.service)) ||
+                                  this->SumRepeatCounts(now, call.service)) ||
       !control::TakeRepeat(rules, place, now,
                            this->AllowanceOf(call.service))) {
     ++this->repeats_denied[call.service];
     return false;
   }
-  this->counts.NoteRepeat(*call.route, after);
+  this->counts.CountRepeat(*call.route, after);
   return true;
 }
 
--- a/libs/relay/src/frame_dispatch.cc
+++ b/libs/relay/src/frame_dispatch.cc
@@ -61,7 +61,7 @@
 /// Handles updates about requests that crashed targets, and trial requests.
 bool RelayNode::OnQuarantineFrame(const PeerLinkPointer& link,
                                   const RawFrame& frame) {
-  QuarantineExchange& blame = this->entry.Blame();
+  QuarantineExchange& blame = this->entry.Quarantine();
   QuarantineFrame update;
   TrialRequestFrame ask;
   TrialEndedFrame over;
@@ -110,7 +110,7 @@
       if (!Decode(frame.payload, answer)) {
         return false;
       }
-      this->entry.Blame().OnTrialResponse(answer);
+      this->entry.Quarantine().OnTrialResponse(answer);
       return true;
     }
     default:
--- a/libs/relay/src/http_parser.cc
+++ b/libs/relay/src/http_parser.cc
@@ -13,7 +13,8 @@
 using boost::beast::iequals;
 using StringView = boost::beast::string_view;
 
-/// Largest block of fields, in bytes; callers stay far below.
+/// Maximum size of all header fields, in bytes; requests of callers are far
+/// smaller.
 constexpr std::uint32_t kMaxHeader = 64 * 1024;
 
 bool IsField(StringView name, const std::string& wanted) {
@@ -30,8 +31,8 @@
   return is_whole ? std::optional<Number>(value) : std::nullopt;
 }
 
-/// Seconds in `timeout=N` of a Keep-Alive field; 0 if not there.
-std::uint32_t TimeoutOf(StringView value) {
+/// Seconds in `timeout=N` of a Keep-Alive field; 0 if absent.
+std::uint32_t KeepAliveTimeout(StringView value) {
   const std::size_t at = value.find("timeout=");
   if (at == StringView::npos) {
     return 0;
@@ -42,8 +43,8 @@
   return seconds;
 }
 
-/// Fields that concern one connection only (RFC 9110, 7.6.1), and the framing,
-/// which is written anew.
+/// Whether a field applies to one connection only (RFC 9110, section 7.6.1) or
+/// describes the framing, which is generated anew.
 bool IsHopByHop(http::field name) {
   switch (name) {
     case http::field::connection:
@@ -66,22 +67,22 @@
 }  // namespace
 
 template <bool IsRequest>
-ParseStep HttpParser<IsRequest>::Feed(std::string& input) {
+ParseStatus HttpParser<IsRequest>::Feed(std::string& input) {
   std::size_t used = 0;
-  ParseStep step = ParseStep::kNeedMore;
+  ParseStatus step = ParseStatus::kNeedMore;
   while (used < input.size()) {
     error_code error;
     used += this->put(
         boost::asio::buffer(input.data() + used, input.size() - used), error);
     if (this->is_done()) {
-      step = ParseStep::kDone;
+      step = ParseStatus::kDone;
       break;
     }
     if (error == http::error::need_more) {
       break;
     }
     if (error) {
-      step = ParseStep::kBad;
+      step = ParseStatus::kMalformed;
       break;
     }
   }
@@ -90,7 +91,7 @@
 }
 
 template <bool IsRequest>
-bool HttpParser<IsRequest>::FinishAtEnd() {
+bool HttpParser<IsRequest>::FinishAtEof() {
   if (!this->is_header_done()) {
     return false;
   }
@@ -176,8 +177,6 @@
 template class HttpParser<true>;
 template class HttpParser<false>;
 
-// ---- requests ----
-
 void RequestParser::on_request_impl(http::verb /*method*/,
                                     string_view method_text,
                                     string_view target,
@@ -211,7 +210,7 @@
       this->head.time_left_ms = ParseNumber<std::int64_t>(value);
       return;
     }
-    // Callers may not speak for the relay.
+    // Only the relay sets these fields; values sent by callers are dropped.
     if (IsField(name_text, this->names.caller_service) ||
         IsField(name_text, this->names.target_instance)) {
       return;
@@ -233,8 +232,6 @@
   this->DropNominated(this->head.identity_fields);
 }
 
-// ---- answers ----
-
 void AnswerParser::on_request_impl(http::verb /*method*/,
                                    string_view /*method_text*/,
                                    string_view /*target*/,
@@ -255,7 +252,7 @@
                                  string_view value,
                                  error_code& /*error*/) {
   if (name == http::field::keep_alive) {
-    this->head.keep_alive_s = TimeoutOf(value);
+    this->head.keep_alive_s = KeepAliveTimeout(value);
   } else if (name == http::field::content_encoding) {
     this->head.is_encoded = !iequals(value, "identity");
   } else if (name == http::field::unknown) {
--- a/libs/relay/src/relay_node.cc
+++ b/libs/relay/src/relay_node.cc
@@ -60,8 +60,8 @@
       tick_timer(loop_in) {
   this->served.SetTargetAddress(this->settings.target_address);
   this->served.SetUsableShare(this->settings.decisions.usable_slots);
-  this->entry.Blame().SetConfirmationHandlers(this->hooks.on_confirmed,
-                                              this->hooks.on_cleared);
+  this->entry.Quarantine().SetConfirmationHandlers(this->hooks.on_confirmed,
+                                                   this->hooks.on_cleared);
 }
 
 RelayNode::~RelayNode() = default;
@@ -107,7 +107,7 @@
   };
   events.on_previous_repeats =
       [this](const std::vector<ServiceRepeats>& repeats) {
-        this->entry.TakeMemory(repeats);
+        this->entry.RestoreRepeatCounts(repeats);
       };
   events.on_incarnation_changed = [this](std::uint64_t incarnation) {
     LogEvent(kEventRenumbered, {{"incarnation", std::to_string(incarnation)}});
@@ -206,7 +206,7 @@
   state.demand = control::DemandOf(this->served.Meter());
   state.calls_per_run = this->served.CallsPerRun();
   state.roots = control::LocalRootRates(this->entry.Admission());
-  state.repeats = this->entry.OwnRepeats(BootTimeNow());
+  state.repeats = this->entry.OwnRepeatCounts(BootTimeNow());
   state.has_source = this->has_source && !this->is_stopping;
   state.error_rate = this->served.ErrorRate();
   return state;
@@ -325,7 +325,7 @@
 }
 
 void RelayNode::OnPeerConnected(const PeerPointer& peer) {
-  this->entry.Blame().OnPeerConnected(peer);
+  this->entry.Quarantine().OnPeerConnected(peer);
   LogEvent(kEventPeerSeen,
            {{"peer", peer->node.name},
             {"service", peer->reported.service},
@@ -368,7 +368,7 @@
     this->peers.Tick(now);
     this->entry.UpdateAdmission(now);
     this->entry.Quotas().Tick(now);
-    this->entry.Blame().Tick(now);
+    this->entry.Quarantine().Tick(now);
     this->AddSlotTime();
     FlushLog();
   }
@@ -383,7 +383,7 @@
 void RelayNode::AddSlotTime() {
   constexpr double kSeconds = 0.001 * kTickInterval.count() * kPeerTicks;
   const control::InstanceTracker& ledger = this->served.Ledger();
-  if (this->entry.IsShort(ledger.current.service)) {
+  if (this->entry.IsBottleneck(ledger.current.service)) {
     this->short_available_s += kSeconds * control::UsableSlots(ledger);
     this->short_used_s += kSeconds * this->served.Running();
   }
@@ -413,7 +413,7 @@
     this->callers.CloseIdle();
   }
   const bool is_idle = this->entry.OpenCalls() == 0 &&
-                       this->callers.Busy() == 0 &&
+                       this->callers.BusyConnectionCount() == 0 &&
                        this->served.Running() + this->served.Waiting() == 0;
   const bool is_forced = since >= this->settings.grace - kFinalAnswerTime;
   if ((since >= kCallerDrainTime && is_idle) || is_forced) {
--- a/libs/relay/src/target_connection.cc
+++ b/libs/relay/src/target_connection.cc
@@ -143,7 +143,7 @@
   }
   if (error) {
     const bool is_proper_end = error == boost::asio::error::eof &&
-                               this->parser->FinishAtEnd() &&
+                               this->parser->FinishAtEof() &&
                                this->IsOfThisRequest();
     if (is_proper_end) {
       this->Deliver(true);
@@ -158,12 +158,12 @@
 
 void TargetConnection::Parse() {
   while (this->is_busy) {
-    const ParseStep step = this->parser->Feed(this->input);
-    if (step == ParseStep::kBad) {
+    const ParseStatus step = this->parser->Feed(this->input);
+    if (step == ParseStatus::kMalformed) {
       this->Fail(CallReason::kBadAnswer);
       return;
     }
-    const bool is_complete = step == ParseStep::kDone;
+    const bool is_complete = step == ParseStatus::kDone;
     const bool is_interim =
         is_complete && this->parser->head.status < kFirstSuccess;
     const bool is_mismatched = is_complete && !is_interim &&
