--- a/libs/relay/include/almondlink/relay/entry_calls.h
+++ b/libs/relay/include/almondlink/relay/entry_calls.h
@@ -17,7 +17,7 @@
 #include "almondlink/control/weighted_round_robin.h"
 #include "almondlink/policy/route_table.h"
 #include "almondlink/relay/caller_listener.h"
-#include "almondlink/relay/caller_port.h"
+#include "almondlink/relay/peer_table.h"
 #include "almondlink/relay/quarantine_exchange.h"
 #include "almondlink/relay/quota_exchange.h"
 #include "almondlink/relay/relay_settings.h"
