--- a/libs/control/include/almondlink/control/chain_admission.h
+++ b/libs/control/include/almondlink/control/chain_admission.h
@@ -85,7 +85,7 @@
   double work_ms = 0;
   std::vector<RouteDemand> demand;
   /// Fraction of the target's answers that are failures of its own. The part by
-  /// which it exceeds that of the other targets (see error_share.h) is taken
+  /// which it exceeds that of the other targets (see error_rate.h) is taken
   /// off its slots, since those do not complete requests.
   double error_rate = 0;
 };
--- a/libs/control/include/almondlink/control/placement.h
+++ b/libs/control/include/almondlink/control/placement.h
@@ -64,7 +64,7 @@
   /// remains.
   double failing_weight = 10;
   /// Milliseconds that are added to the expected time, times the part by which
-  /// the target's error rate exceeds that of the others (see error_share.h),
+  /// the target's error rate exceeds that of the others (see error_rate.h),
   /// because a failure costs the whole request. Ejecting such targets gives
   /// callers the same result, but leaves no target if several have errors.
   double error_penalty_ms = 0;
