--- a/libs/control/include/almondlink/control/chain_admission.h
+++ b/libs/control/include/almondlink/control/chain_admission.h
@@ -25,8 +25,7 @@
 ///         = root requests offered per second    (all nodes, reports are up to
 ///                                                half a second old)
 ///         * calls there per root request        (counted, see chain_counts.h)
-///         * mean time of one call there         (over the last few dozen
-///         calls)
+///         * mean time of one call there         (last few dozen calls)
 ///
 /// Each service first divides a small part of its capacity evenly among the
 /// routes (`assured_fraction`). It then raises every route to a minimum share
@@ -86,7 +85,7 @@
   std::vector<RouteDemand> demand;
   /// Fraction of the target's answers that are failures of its own. The part by
   /// which it exceeds that of the other targets (see error_rate.h) is taken
-  /// off its slots, since those do not complete requests.
+  /// off its slots, since a slot that runs a failing call completes no request.
   double error_rate = 0;
 };
 
--- a/libs/control/include/almondlink/control/membership.h
+++ b/libs/control/include/almondlink/control/membership.h
@@ -102,8 +102,8 @@
 std::optional<wire::Member> NextProbe(double draw, Membership& membership);
 
 /// A random member that is considered failed, to be probed anyway: after a
-/// partition both sides consider the other failed, and only a message across
-/// ends that. `draw` is uniform in [0, 1).
+/// partition both sides consider the other failed, and only a message between
+/// the sides corrects that. `draw` is uniform in [0, 1).
 std::optional<wire::Member> PickFailed(double draw,
                                        const Membership& membership);
 
--- a/libs/control/include/almondlink/control/policy_source.h
+++ b/libs/control/include/almondlink/control/policy_source.h
@@ -58,7 +58,7 @@
 struct PolicyOffer {
   std::uint64_t version = 0;
   bool is_own_zone = false;
-  /// It was already asked for a newer policy and has not sent it.
+  /// The node was already asked for a newer policy and has not sent it.
   bool is_requested = false;
 };
 
--- a/libs/control/include/almondlink/control/pressure.h
+++ b/libs/control/include/almondlink/control/pressure.h
@@ -64,8 +64,8 @@
 void ShedLessCritical(Criticality refused, Pressure& pressure);
 
 /// Updates the threshold if the window is over and returns whether it changed.
-/// Call at arrivals and completions. `is_busy` is whether the concurrency limit
-/// is reached.
+/// Call at arrivals and completions. `is_busy`: the concurrency limit is
+/// reached.
 bool UpdatePressure(Millis queue_target,
                     Millis now,
                     bool is_busy,
--- a/libs/control/include/almondlink/control/quarantine.h
+++ b/libs/control/include/almondlink/control/quarantine.h
@@ -49,12 +49,12 @@
   std::vector<std::uint64_t> crashed_incarnations;
   /// Crashes during a trial of the request.
   std::uint32_t failed_trials = 0;
-  /// When the first crash was attributed to it.
+  /// When the first crash was attributed to the request.
   Millis first_crash;
-  /// The last crash during which it was running, whether or not that crash was
-  /// attributed to it.
+  /// When a target last crashed while the request was running, whether or not
+  /// the crash was attributed to the request.
   Millis last_crash;
-  /// When a run of it last completed; 0 if none has.
+  /// When a run of the request last completed; 0 if none has.
   Millis completed_at;
 };
 
@@ -127,7 +127,7 @@
 bool RecordTargetCrash(const QuarantineRules& rules,
                        Millis now,
                        const RequestDigest& digest,
-                       const TargetCrash& end,
+                       const TargetCrash& crash,
                        QuarantineTable& table);
 
 /// Records a completed run, which clears the crash history of the request.
--- a/libs/control/include/almondlink/control/quota_lending.h
+++ b/libs/control/include/almondlink/control/quota_lending.h
@@ -97,8 +97,8 @@
 
 /// Share of a limit that a node may lend if it reaches `reached` of `known`
 /// nodes, itself counted in both. It stays 1 while up to a fourteenth of the
-/// nodes is missing: those can lend no more than that on their side, and the
-/// bound leaves a tenth.
+/// nodes is missing: the missing nodes can lend no more than that fraction on
+/// their side, and the bound leaves a margin of a tenth.
 double LendableShare(std::uint32_t reached, std::uint32_t known);
 
 // ---- Borrower ----
@@ -121,7 +121,8 @@
   Millis last_request;
   /// When the lender last replied.
   Millis last_reply;
-  /// Before this time the lender has no tokens; the reply's advice on the wait.
+  /// The lender has no tokens before `exhausted_until`; `wait` is the wait that
+  /// its reply advised for refused callers.
   Millis exhausted_until;
   Millis wait;
   bool is_well_below_limit = false;
--- a/libs/control/include/almondlink/control/repeat_allowance.h
+++ b/libs/control/include/almondlink/control/repeat_allowance.h
@@ -34,7 +34,7 @@
 /// the chains complete. So the remaining repeats go to some requests only, the
 /// same ones at all nodes and in all calls of their chains. The order is: the
 /// highest-priority routes; then requests that a single repeat completes; then
-/// those with the most answered calls of their chain, which need the fewest
+/// requests with the most answered calls of their chain, which need the fewest
 /// repeats and would lose the most work; then, among equals, a low hash of the
 /// root. With chains of four calls, each refused with probability one half,
 /// 62.2 % of the most important requests complete, against 55.5 % with the hash
--- a/libs/control/include/almondlink/control/target_health.h
+++ b/libs/control/include/almondlink/control/target_health.h
@@ -19,8 +19,8 @@
 struct HealthRules {
   /// Consecutive failures; 0: never eject.
   std::uint32_t consecutive_failures = 5;
-  /// The failure rate must exceed that of the other targets by this factor, and
-  /// by 0.1 more. 0: ignore the other targets.
+  /// A target is ejected only if its failure rate exceeds that of the other
+  /// targets by this factor, and by 0.1 more. 0: ignore the other targets.
   double outlier_factor = 1.5;
 };
 
@@ -35,7 +35,7 @@
   /// Moving average over the last few dozen answers: share of the target's own
   /// errors.
   double error_rate = 0;
-  /// No request is sent before; for kEjected.
+  /// For kEjected: no request is sent to the target before this time.
   Millis ejected_until;
   bool is_trial_in_flight = false;
   /// When the trial request was sent. A trial without an outcome blocks further
@@ -45,7 +45,7 @@
 
 /// Records one outcome. `is_failure` means that the target or its node failed
 /// (lost, unreachable, timed out, bad answer), not that it refused.
-/// `failing_others` is the mean failure rate of the other targets of the
+/// `others_failure_rate` is the mean failure rate of the other targets of the
 /// service. Returns true if this outcome ejected the target.
 bool RecordOutcome(const HealthRules& rules,
                    Millis now,
--- a/libs/control/include/almondlink/control/weighted_round_robin.h
+++ b/libs/control/include/almondlink/control/weighted_round_robin.h
@@ -29,7 +29,7 @@
 /// send their first requests to the same part.
 std::size_t NextPart(const std::vector<double>& weights,
                      const std::vector<double>& draws,
-                     WeightedRoundRobin& turns);
+                     WeightedRoundRobin& state);
 
 }  // namespace almondlink::control
 
--- a/libs/control/src/admission.cc
+++ b/libs/control/src/admission.cc
@@ -58,7 +58,8 @@
 }
 
 /// Refuses a queued request for overload, after all queued requests of less
-/// critical classes: otherwise those would take the slots that it did not get.
+/// critical classes: otherwise these would take slots that the refused request
+/// did not get.
 void RefuseOverloaded(const AdmissionRequest& request,
                       Admission& admission,
                       AdmissionStep& step) {
--- a/libs/control/src/quarantine.cc
+++ b/libs/control/src/quarantine.cc
@@ -72,7 +72,7 @@
 bool RecordTargetCrash(const QuarantineRules& rules,
                        Millis now,
                        const RequestDigest& digest,
-                       const TargetCrash& end,
+                       const TargetCrash& crash,
                        QuarantineTable& table) {
   QuarantineRecord& record = FindOrAddRecord(rules, digest, table);
   if (HasRecentCompletedRun(rules, now, record)) {
@@ -82,11 +82,11 @@
   if (record.crashed_incarnations.empty()) {
     record.first_crash = now;
   }
-  if (!AddIncarnation(end.incarnation, record)) {
+  if (!AddIncarnation(crash.incarnation, record)) {
     return false;
   }
   record.last_crash = now;
-  record.failed_trials += end.is_on_trial ? 1 : 0;
+  record.failed_trials += crash.is_on_trial ? 1 : 0;
   return true;
 }
 
--- a/libs/control/src/repeat_allowance.cc
+++ b/libs/control/src/repeat_allowance.cc
@@ -60,7 +60,7 @@
   return allowance.slot;
 }
 
-/// Sum of those slots from `first` to `last` that are still stored.
+/// Sum of the slots from `first` to `last` that are still stored.
 double SumOf(const std::array<std::uint32_t, kAllowanceSlots>& counts,
              std::int64_t current,
              std::int64_t first,
--- a/libs/control/tests/chain_admission_test.cc
+++ b/libs/control/tests/chain_admission_test.cc
@@ -229,15 +229,15 @@
   // were adjusted by feedback swung between 0.1 and 0.9.
   ChainSimulation chain(60);
   chain.Run(6000);
-  double least = 1;
-  double most = 0;
+  double min_share = 1;
+  double max_share = 0;
   for (int i = 0; i < 50; ++i) {
     chain.Run(100);
     const double share = ShareOf(kCheck, chain.Admission());
-    least = std::min(least, share);
-    most = std::max(most, share);
+    min_share = std::min(min_share, share);
+    max_share = std::max(max_share, share);
   }
-  REQUIRE(most - least < 0.15);
+  REQUIRE(max_share - min_share < 0.15);
 }
 
 TEST_CASE(
--- a/libs/control/tests/membership_test.cc
+++ b/libs/control/tests/membership_test.cc
@@ -29,19 +29,19 @@
 }
 
 TEST_CASE("updates in any order and repeated converge to the same table") {
-  std::vector<wire::Member> news;
+  std::vector<wire::Member> updates;
   for (std::uint64_t incarnation = 1; incarnation <= 2; ++incarnation) {
     for (std::uint64_t version = 1; version <= 3; ++version) {
       for (const MemberState state :
            {MemberState::kAlive, MemberState::kSuspect, MemberState::kFailed}) {
-        news.push_back(MakeMember("x", incarnation, version, state));
+        updates.push_back(MakeMember("x", incarnation, version, state));
       }
     }
   }
   for (std::uint64_t seed = 0; seed < 100; ++seed) {
     std::mt19937_64 random(seed);
-    std::vector<wire::Member> shuffled = news;
-    shuffled.insert(shuffled.end(), news.begin(), news.end());
+    std::vector<wire::Member> shuffled = updates;
+    shuffled.insert(shuffled.end(), updates.begin(), updates.end());
     std::shuffle(shuffled.begin(), shuffled.end(), random);
     Membership membership = Start("me");
     for (const wire::Member& member : shuffled) {
--- a/libs/control/tests/policy_source_test.cc
+++ b/libs/control/tests/policy_source_test.cc
@@ -28,7 +28,8 @@
 }
 
 TEST_CASE("a follower that cannot read the source is replaced") {
-  // It keeps trying, and takes its place again once it can read the source.
+  // The first follower keeps trying, and takes its place again once it can read
+  // the source.
   const std::vector<bool> follows =
       Followers({false, true, true, true, true, true, true, true});
   REQUIRE(follows == std::vector<bool>{true, true, true, false, false, false,
--- a/libs/control/tests/relay_decisions_test.cc
+++ b/libs/control/tests/relay_decisions_test.cc
@@ -61,7 +61,8 @@
   rules.acceptable_ms = 99;
   REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
           0U);
-  // Not when it is full, and not when its expected time is above the limit.
+  // The own zone is not used when its target is full or its expected time is
+  // above the limit.
   targets[0].reported_load = 100;
   REQUIRE(ChoosePlacementTarget(rules, targets, Millis{0}, PlacementDraws()) ==
           1U);
@@ -94,7 +95,7 @@
   targets[0].health.failure_rate = 0.4;
   REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
                                 PlacementDraws()) == 1U);
-  // It still takes the requests that the other cannot.
+  // A failing target still takes the requests that the other one cannot.
   targets[1].reported_load = 100;
   REQUIRE(ChoosePlacementTarget(PlacementRules(), targets, Millis{0},
                                 PlacementDraws()) == 0U);
@@ -163,7 +164,7 @@
   REQUIRE_FALSE(TakeRepeat(rules, 0, Millis{30'000}, allowance));
 }
 
-// ---- instance ledger ----
+// ---- instance tracker ----
 
 InstanceReport Report(const std::string& id, std::uint64_t sequence) {
   InstanceReport report;
@@ -251,59 +252,59 @@
 TEST_CASE("a late report of an ended instance does not restore it") {
   // A delayed report arrives after its sender has ended and another instance
   // has taken over the address.
-  InstanceTracker ledger;
-  ApplyReport(Millis{0}, Report("old", 7), ledger);
-  REQUIRE(ApplyReport(Millis{1}, Report("new", 1), ledger) ==
+  InstanceTracker tracker;
+  ApplyReport(Millis{0}, Report("old", 7), tracker);
+  REQUIRE(ApplyReport(Millis{1}, Report("new", 1), tracker) ==
           ReportEffect::kChanged);
-  REQUIRE(ApplyReport(Millis{2}, Report("old", 6), ledger) ==
+  REQUIRE(ApplyReport(Millis{2}, Report("old", 6), tracker) ==
           ReportEffect::kIgnored);
-  REQUIRE(ledger.current.incarnation.id == "new");
+  REQUIRE(tracker.current.incarnation.id == "new");
 }
 
 TEST_CASE("an instance replaced by mistake is restored by a newer report") {
-  InstanceTracker ledger;
-  ApplyReport(Millis{0}, Report("living", 7), ledger);
-  ApplyReport(Millis{1}, Report("late", 3), ledger);
-  REQUIRE(ApplyReport(Millis{2}, Report("living", 8), ledger) ==
+  InstanceTracker tracker;
+  ApplyReport(Millis{0}, Report("living", 7), tracker);
+  ApplyReport(Millis{1}, Report("late", 3), tracker);
+  REQUIRE(ApplyReport(Millis{2}, Report("living", 8), tracker) ==
           ReportEffect::kChanged);
-  REQUIRE(ledger.current.incarnation.id == "living");
+  REQUIRE(tracker.current.incarnation.id == "living");
 }
 
 TEST_CASE("a leaving instance stays leaving across a restart of its node") {
   // The node restarts after it has acknowledged the leave. Its peers still know
   // of it, and a delayed ready report arrives.
-  InstanceTracker ledger;
-  RestoreDeparted(Millis{0}, {"going", 0}, ledger);
-  REQUIRE(ledger.phase == InstancePhase::kNone);
-  ApplyReport(Millis{1}, Report("going", 9), ledger);
-  REQUIRE(ledger.phase == InstancePhase::kLeaving);
+  InstanceTracker tracker;
+  RestoreDeparted(Millis{0}, {"going", 0}, tracker);
+  REQUIRE(tracker.phase == InstancePhase::kNone);
+  ApplyReport(Millis{1}, Report("going", 9), tracker);
+  REQUIRE(tracker.phase == InstancePhase::kLeaving);
 }
 
 TEST_CASE("a leave without a report is applied once") {
-  InstanceTracker ledger;
-  ApplyReport(Millis{0}, Report("a", 1), ledger);
-  REQUIRE(ApplyLeave(Millis{5}, {"a", 0}, ledger) == ReportEffect::kChanged);
-  REQUIRE(ApplyLeave(Millis{9}, {"a", 0}, ledger) == ReportEffect::kRefreshed);
-  REQUIRE(ledger.leaving_since == Millis{5});
-  REQUIRE(ApplyLeave(Millis{9}, {"b", 0}, ledger) == ReportEffect::kIgnored);
+  InstanceTracker tracker;
+  ApplyReport(Millis{0}, Report("a", 1), tracker);
+  REQUIRE(ApplyLeave(Millis{5}, {"a", 0}, tracker) == ReportEffect::kChanged);
+  REQUIRE(ApplyLeave(Millis{9}, {"a", 0}, tracker) == ReportEffect::kRefreshed);
+  REQUIRE(tracker.leaving_since == Millis{5});
+  REQUIRE(ApplyLeave(Millis{9}, {"b", 0}, tracker) == ReportEffect::kIgnored);
 }
 
 TEST_CASE("a leaving instance does not replace a live one") {
-  InstanceTracker ledger;
-  ApplyReport(Millis{0}, Report("living", 1), ledger);
+  InstanceTracker tracker;
+  ApplyReport(Millis{0}, Report("living", 1), tracker);
   InstanceReport leaving = Report("other", 5);
   leaving.is_leaving = true;
-  REQUIRE(ApplyReport(Millis{1}, leaving, ledger) == ReportEffect::kIgnored);
-  REQUIRE(ledger.current.incarnation.id == "living");
+  REQUIRE(ApplyReport(Millis{1}, leaving, tracker) == ReportEffect::kIgnored);
+  REQUIRE(tracker.current.incarnation.id == "living");
 }
 
 TEST_CASE("a few slots of an instance stay unused") {
-  InstanceTracker ledger;
-  REQUIRE(UsableSlots(ledger) == 0);
+  InstanceTracker tracker;
+  REQUIRE(UsableSlots(tracker) == 0);
   InstanceReport report = Report("a", 1);
   report.capacity = 43;
-  ApplyReport(Millis{0}, report, ledger);
-  REQUIRE(UsableSlots(ledger) == 40);
+  ApplyReport(Millis{0}, report, tracker);
+  REQUIRE(UsableSlots(tracker) == 40);
 }
 
 TEST_CASE("a request waits for a target only while one is expected") {
--- a/libs/model/src/relay_path.cc
+++ b/libs/model/src/relay_path.cc
@@ -41,7 +41,7 @@
   double deadline_ms = 0;
   double wait_until_ms = 0;
   std::vector<std::size_t> tried;
-  /// Those of `tried` that refused it without running it.
+  /// Instances in `tried` that refused the call without running it.
   std::vector<std::size_t> refused_by;
   int attempts = 0;
   bool may_have_run = false;
@@ -63,7 +63,7 @@
   // State as the node beside a target.
   std::map<QueueKey, OutgoingCallPointer> queue;
   std::uint32_t running = 0;
-  /// Grows when the host is lost; work of earlier incarnations never ends.
+  /// Increases when the host is lost; work of earlier incarnations never ends.
   std::uint32_t incarnation = 0;
   control::DemandMeter meter;
   // State as an entry node: view of the targets of each service.
--- a/libs/model/src/relay_path.h
+++ b/libs/model/src/relay_path.h
@@ -37,11 +37,11 @@
   /// Result of an attempt at the node beside the target.
   enum class AttemptResult {
     kCompleted,
-    /// The target ran it without success.
+    /// The target ran the call without success.
     kFailed,
-    /// The target refused it without running it.
+    /// The target refused the call without running it.
     kRefusedByTarget,
-    /// It waited too long for a free slot.
+    /// The call waited too long for a free slot.
     kNoSlot,
     /// No answer arrived.
     kLost,
--- a/libs/model/src/simulation.h
+++ b/libs/model/src/simulation.h
@@ -42,13 +42,13 @@
   double deadline_ms = 0;
   int tries = 0;
   bool is_done = false;
-  /// Calls made for it, by callers, services and retrying nodes.
+  /// Calls made for the request, by callers, services and retrying nodes.
   std::uint64_t calls = 0;
   /// Runs of the current try by service key; keys start at 1.
   control::CallCounts runs_by_service;
   /// Retries by nodes in the current try.
   std::uint32_t retries_in_try = 0;
-  /// Runs of at-most-once operations for it.
+  /// Runs of at-most-once operations for the request.
   int at_most_once_runs = 0;
 };
 using RootPointer = std::shared_ptr<RootRequest>;
@@ -80,14 +80,14 @@
   double deadline_ms = 0;
   control::RetryGrant grant;
   std::uint32_t downstream_level = 0;
-  /// One of the calls that it makes has failed.
+  /// One of the calls that the work makes has failed.
   bool has_failed_call = false;
   bool is_running = false;
   bool is_over = false;
-  /// The target refused it without running it.
+  /// The target refused the call without running it.
   bool is_refused = false;
   std::size_t next_call = 0;
-  /// The call that it waits for, if any.
+  /// The call that the work waits for, if any.
   CallHandlePointer open_call;
   std::function<void(bool is_completed)> done;
 };
