--- a/libs/base/include/almondlink/base/events.generated.h
+++ b/libs/base/include/almondlink/base/events.generated.h
@@ -13,7 +13,7 @@
 /// `clean`: nothing was in flight; `usage_kept`: the last usage record is in
 /// the log.
 constexpr Event kEventStopped{102, Level::kInfo, "stopped", Volume::kRare};
-/// A port, a file or a key could not be used; `reason` tells.
+/// A port, a file or a key could not be used; `reason` says which and why.
 constexpr Event kEventCannotStart{103, Level::kError, "cannot-start",
                                   Volume::kRare};
 /// Work was in flight past the longest deadline.
@@ -22,7 +22,7 @@
 /// A version came into force, from the log or from a peer.
 constexpr Event kEventBundleInForce{200, Level::kInfo, "bundle-in-force",
                                     Volume::kRare};
-/// A peer's bundle did not prove itself.
+/// The proof of a peer's bundle is not valid.
 constexpr Event kEventBundleRefused{201, Level::kWarning, "bundle-refused",
                                     Volume::kRare};
 /// The platform's log does not answer.
@@ -40,12 +40,13 @@
 /// refused as not run until they expire.
 constexpr Event kEventClaimGap{206, Level::kError, "claim-stream-gap",
                                Volume::kRare};
-/// News of a node: 0 alive, 1 suspect, 2 failed, 3 left.
+/// The membership state of a node changed: 0 alive, 1 suspect, 2 failed, 3
+/// left.
 constexpr Event kEventMemberChanged{300, Level::kInfo, "member-changed",
                                     Volume::kRare};
 /// A link to a peer is usable.
 constexpr Event kEventLinkOpen{301, Level::kDebug, "link-open", Volume::kRare};
-/// A link ended; `reason` tells.
+/// A link ended for `reason`.
 constexpr Event kEventLinkLost{302, Level::kInfo, "link-lost", Volume::kRare};
 /// A link with calls out did not answer a ping and is replaced.
 constexpr Event kEventLinkSilent{303, Level::kWarning, "link-silent",
@@ -53,7 +54,7 @@
 /// A peer did not prove the deployment key, or sent what does not decode.
 constexpr Event kEventPeerRefused{304, Level::kWarning, "peer-refused",
                                   Volume::kRare};
-/// Others held this node failed; it lives and says so.
+/// Other nodes considered this node failed; it reported that it is alive.
 constexpr Event kEventRefuted{305, Level::kWarning, "suspicion-refuted",
                               Volume::kRare};
 /// This target's pressure level changed (0 to 1024 ranks shed).
@@ -65,7 +66,7 @@
 /// It is used again.
 constexpr Event kEventTargetBack{402, Level::kInfo, "target-back",
                                  Volume::kRare};
-/// The target answered what is not HTTP/1.1 with a length.
+/// The target's answer is not HTTP/1.1 with a length.
 constexpr Event kEventTargetProtocol{403, Level::kWarning, "target-protocol",
                                      Volume::kRare};
 /// The target sent answers that are not of the request under way, `dropped` of
@@ -81,19 +82,19 @@
 constexpr Event kEventTraceOn{500, Level::kInfo, "trace-on", Volume::kRare};
 /// It ended.
 constexpr Event kEventTraceOff{501, Level::kInfo, "trace-off", Volume::kRare};
-/// A root request was refused because its chain has no room; `share` is the
-/// part of its route that is let in, `version` the policy's.
+/// A root request was refused because its chain has no capacity left; `share`
+/// is the part of its route's requests that is admitted, `version` the
+/// policy's.
 constexpr Event kEventRefusedAtEntry{600, Level::kInfo, "refused-at-entry",
                                      Volume::kFailure};
-/// A request was answered 503: it has not run and never will. `reason` tells
-/// why.
+/// A request was answered 503: it has not run and never will, for `reason`.
 constexpr Event kEventNotRun{601, Level::kInfo, "not-run", Volume::kFailure};
 /// A request was sent to a target and its outcome is not known: 502, or 504
-/// when its time was over. `target` is the last that got it, `attempts` how
-/// many did, `after_ms` the time since it came.
+/// when its time was over. `target` is the last that received it, `attempts`
+/// the number of targets that did, `after_ms` the time since its arrival.
 constexpr Event kEventOutcomeUnknown{602, Level::kWarning, "outcome-unknown",
                                      Volume::kLost};
-/// An attempt failed and another one follows; `after` tells why.
+/// An attempt failed for the reason `after`, and another one follows.
 constexpr Event kEventSentAgain{603, Level::kInfo, "sent-again",
                                 Volume::kFailure};
 /// An attempt failed and none follows.
@@ -106,7 +107,8 @@
 /// No route of the policy in force matches; 404.
 constexpr Event kEventNoRoute{606, Level::kInfo, "no-route", Volume::kFailure};
 /// A target's answer was passed on; a sample when there are many. `load`,
-/// `slots` and `told_age_ms` are what the target was chosen by.
+/// `slots` and `told_age_ms` are the reported state that the target was chosen
+/// by, and its age.
 constexpr Event kEventAnswered{607, Level::kInfo, "answered", Volume::kRoutine};
 /// A request was refused for its API key: 401 where no account of the policy
 /// holds it or there is none, 400 where the field is malformed, 503 where this
@@ -116,18 +118,18 @@
 constexpr Event kEventUnknownKey{608, Level::kInfo, "unknown-key",
                                  Volume::kFailure};
 /// A request was refused because its account is over its quota (429), or
-/// because nobody could tell in time whether it is (503, `reason`). `lender` is
-/// the node that counts for all, `limit_per_s` and `burst` the limit by
-/// `version`.
+/// because the lender did not answer in time (503, `reason`). `lender` is the
+/// node that holds the account's token bucket, `limit_per_s` and `burst` the
+/// limit by `version`.
 constexpr Event kEventOverQuota{609, Level::kInfo, "over-quota",
                                 Volume::kFailure};
 /// A newer policy is in force here, from the store or a peer.
 constexpr Event kEventPolicyTaken{610, Level::kInfo, "policy-taken",
                                   Volume::kRare};
-/// The instance beside this node is new, changed, or leaves. `born` is the time
-/// of its start; another one under the same id is another start.
+/// The instance beside this node is new, changed, or leaves. `born` is its
+/// start time; another start time under the same id is another incarnation.
 constexpr Event kEventInstance{611, Level::kInfo, "instance", Volume::kRare};
-/// A link to another node is usable and its first state was told.
+/// A link to another node is usable and its first state was received.
 constexpr Event kEventPeerSeen{612, Level::kInfo, "peer-seen", Volume::kRare};
 /// The platform's store does not answer this host, or refuses it; `status` 0 is
 /// no answer.
@@ -135,59 +137,60 @@
                                 Volume::kRare};
 /// It answers again.
 constexpr Event kEventStoreBack{614, Level::kInfo, "store-back", Volume::kRare};
-/// The settings were loaded again, or could not be and the old ones stay.
+/// The settings were loaded again, or could not be loaded and the old ones stay
+/// in force.
 constexpr Event kEventReloaded{615, Level::kInfo, "reloaded", Volume::kRare};
-/// The share of a route's root requests that is let in changed by a tenth or
-/// more; `bound_by` is the service that has no room.
+/// The share of a route's root requests that is admitted changed by a tenth or
+/// more; `bound_by` is the service without capacity.
 constexpr Event kEventShareChanged{616, Level::kInfo, "share-changed",
                                    Volume::kRare};
-/// So many lines were left out since the last such line, by kind; the bounds
+/// The number of lines left out since the last such line, by kind; the bounds
 /// are in OPERATIONS.md.
 constexpr Event kEventLinesLeftOut{620, Level::kInfo, "lines-left-out",
                                    Volume::kRare};
-/// A caller left before its answer; its work was ended.
+/// A caller disconnected before its answer; its work was cancelled.
 constexpr Event kEventCallerLeft{621, Level::kInfo, "caller-left",
                                  Volume::kFailure};
 /// Idle connections of callers were closed, the longest idle first, because
 /// descriptors are short; `open` are left.
 constexpr Event kEventCallersClosed{622, Level::kWarning, "callers-closed",
                                     Volume::kRare};
-/// A report of an instance, or an entry of the store, that does not say what it
-/// must; nothing was taken from it. `from` is where it came from, `reason` the
-/// first fault.
+/// A report of an instance, or an entry of the store, is not valid and was
+/// ignored. `from` is its source, `reason` the first error.
 constexpr Event kEventEntryRefused{623, Level::kWarning, "entry-refused",
                                    Volume::kRefused};
-/// Another node had met a start of this node with a higher number: the clock
-/// went back between two starts. This start goes on under `incarnation`.
+/// Another node knows an incarnation of this node with a higher number: the
+/// clock went back between two starts. This process continues under
+/// `incarnation`.
 constexpr Event kEventRenumbered{624, Level::kInfo, "renumbered",
                                  Volume::kRare};
-/// The process of the target beside this node is gone, without having said that
-/// it leaves: a connect was refused, and no connection is left. `running` calls
-/// ended with it. Nothing is sent there until it reports again.
+/// The process of the target beside this node crashed: a connect was refused,
+/// no connection is left, and it had not announced that it leaves. `running`
+/// calls were lost with it. Nothing is sent there until it reports again.
 constexpr Event kEventTargetEnded{625, Level::kWarning, "target-ended",
                                   Volume::kRare};
-/// The request was running at a target that ended. `digest` names it by route,
-/// path, account and body, whatever its id; `ends` is the number of starts of
-/// targets that ended under it since its last whole run, `failed_trials` those
-/// that ended while it was on trial.
+/// The request was running at a target that crashed. `digest` identifies it by
+/// route, path, account and body, whatever its id; `ends` is the number of
+/// incarnations of targets that crashed while it was running since its last
+/// completed run, `failed_trials` those that crashed during a trial of it.
 constexpr Event kEventUnderWayAtEnd{626, Level::kWarning, "under-way-at-end",
                                     Volume::kBlame};
-/// Two targets or more have ended under the request; it runs alone of its kind,
-/// at a target without another trial.
+/// Two targets or more have crashed while the request was running; it runs as a
+/// trial, once at a time, at a target without another trial.
 constexpr Event kEventTrialBegun{627, Level::kInfo, "trial-begun",
                                  Volume::kBlame};
-/// `outcome` is `whole` (nothing holds the request any more), `target-ended`
-/// (it is refused from now on), or `undecided` (refused by the target, cut off,
-/// out of time: it is tried again).
+/// `outcome` is `whole` (it completed and is no longer quarantined),
+/// `target-ended` (the target crashed, it is refused from now on), or
+/// `undecided` (refused by the target, disconnected or timed out: it is tried
+/// again).
 constexpr Event kEventTrialOver{628, Level::kInfo, "trial-over",
                                 Volume::kBlame};
-/// A request was not sent on because targets have ended under the same one;
-/// `wait_ms` is the time until it is tried again, 0: it waited for a trial in
-/// vain.
+/// A request was not sent because targets crashed while the same request was
+/// running; `wait_ms` is the time until the next trial, 0: no trial was
+/// permitted in time.
 constexpr Event kEventRefusedForEnds{629, Level::kInfo, "refused-for-ends",
                                      Volume::kBlame};
-/// The operator let go of a request that targets had ended under; it runs as
-/// any other.
+/// The operator lifted the quarantine of a request; it runs as any other.
 constexpr Event kEventBlameLifted{630, Level::kInfo, "blame-lifted",
                                   Volume::kRare};
 
