--- a/libs/relay/include/almondlink/relay/entry_calls.h
+++ b/libs/relay/include/almondlink/relay/entry_calls.h
@@ -55,7 +55,7 @@
   EntryCalls(const EntryCalls&) = delete;
   EntryCalls& operator=(const EntryCalls&) = delete;
 
-  /// Installs a policy. Calls in progress keep the one that they began with.
+  /// Installs a policy. Calls in progress keep the policy that they began with.
   void SetTable(policy::RouteTablePointer table);
   /// The policy in force; null before the first SetTable.
   const policy::RouteTablePointer& Table() const { return this->table; }
--- a/libs/relay/include/almondlink/relay/http_parser.h
+++ b/libs/relay/include/almondlink/relay/http_parser.h
@@ -21,7 +21,7 @@
   std::string target;
   std::string host;
   std::string id;
-  /// Empty if the caller sent no value or one that is not a number.
+  /// Empty if the caller sent no value or a value that is not a number.
   std::optional<std::int64_t> time_left_ms;
   /// `Name: value` lines to forward, each with its line end.
   std::string fields;
--- a/libs/relay/include/almondlink/relay/peer_frames.h
+++ b/libs/relay/include/almondlink/relay/peer_frames.h
@@ -223,7 +223,7 @@
   kNotSent = 1,
   /// Not run: the target refused it.
   kRefusedByTarget = 2,
-  /// It was sent, and no valid answer was received.
+  /// The call was sent, and no valid answer was received.
   kBroken = 3,
 };
 
--- a/libs/relay/include/almondlink/relay/peer_table.h
+++ b/libs/relay/include/almondlink/relay/peer_table.h
@@ -34,7 +34,7 @@
 /// from nodes that dial this one and from the lists that nodes send each other.
 namespace almondlink::relay {
 
-/// What is known of one node. This node has an entry too.
+/// Information about one node. This node has an entry too.
 struct Peer {
   NodeAddress node;
   /// Incarnation before the current one, and the repeat counts that it reported
--- a/libs/relay/include/almondlink/relay/quarantine_exchange.h
+++ b/libs/relay/include/almondlink/relay/quarantine_exchange.h
@@ -62,7 +62,7 @@
   /// Records that the request was running when a target crashed, and broadcasts
   /// it. Returns false if this crash was already recorded for it.
   bool RecordTargetCrash(const control::RequestDigest& digest,
-                         const control::TargetCrash& end,
+                         const control::TargetCrash& crash,
                          Millis now);
   /// Records that a run of the request completed, and broadcasts it. Returns
   /// false if there was no record of the request.
@@ -80,10 +80,10 @@
   std::string ListQuarantined(Millis now) const;
 
   /// Requests a trial from the coordinator, at most once per interval for each
-  /// request. `left`: time that the caller still waits.
+  /// request. `remaining`: time for which the caller still waits.
   void RequestTrial(const control::RequestDigest& digest,
                     const std::string& service,
-                    Millis left,
+                    Millis remaining,
                     Millis now);
   /// Reports to the coordinator that a granted trial has ended or cannot begin.
   void EndTrial(const control::RequestDigest& digest,
@@ -92,9 +92,9 @@
   /// Handlers of frames from other nodes.
   void OnUpdates(const QuarantineFrame& frame);
   void OnTrialRequest(const PeerLinkPointer& link,
-                      const TrialRequestFrame& ask);
+                      const TrialRequestFrame& request);
   void OnTrialResponse(const TrialResponseFrame& answer);
-  void OnTrialEnded(const TrialEndedFrame& over);
+  void OnTrialEnded(const TrialEndedFrame& ended);
   /// Sends all suspect requests to a peer whose link became usable.
   void OnPeerConnected(const PeerPointer& peer);
 
@@ -112,7 +112,7 @@
   PeerPointer TrialCoordinator(const std::string& service) const;
   std::string GrantTrial(const control::RequestDigest& digest,
                          const std::string& service,
-                         Millis left,
+                         Millis remaining,
                          Millis now);
   void Broadcast(const QuarantineFrame& frame);
 
--- a/libs/relay/include/almondlink/relay/quota_exchange.h
+++ b/libs/relay/include/almondlink/relay/quota_exchange.h
@@ -64,14 +64,14 @@
 
   /// Answers a request of another node on `link`.
   void OnQuotaRequest(const PeerLinkPointer& link,
-                      const QuotaRequestFrame& ask);
+                      const QuotaRequestFrame& request);
   void OnLoan(const QuotaLoanFrame& frame);
 
   /// Tracks changes of the set of lenders and drops unused state; call every
   /// 100 ms.
   void Tick(Millis now);
 
-  std::size_t PurseCount() const { return this->purses.size(); }
+  std::size_t PurseCount() const { return this->borrowers.size(); }
   std::size_t BucketCount() const { return this->buckets.size(); }
 
  private:
@@ -86,7 +86,7 @@
   PeerTable& peers;
   std::function<void(policy::AccountKey)> on_tokens;
   policy::RouteTablePointer table;
-  std::unordered_map<std::uint32_t, control::QuotaBorrower> purses;
+  std::unordered_map<std::uint32_t, control::QuotaBorrower> borrowers;
   std::unordered_map<std::uint32_t, control::QuotaBucket> buckets;
   /// Hash of the set of possible lenders, and since when it is unchanged.
   std::uint64_t lender_set_hash = 0;
--- a/libs/relay/include/almondlink/relay/served_calls.h
+++ b/libs/relay/include/almondlink/relay/served_calls.h
@@ -55,7 +55,7 @@
       on_failed;
   /// The process of that incarnation of the target has crashed; `running`:
   /// number of calls that were running.
-  std::function<void(const control::InstanceIncarnation& start,
+  std::function<void(const control::InstanceIncarnation& incarnation,
                      std::size_t running)>
       on_target_crashed;
 };
@@ -88,14 +88,14 @@
   void SetTargetAddress(const boost::asio::ip::tcp::endpoint& address);
 
   /// Sets the share of the target's slots that is used.
-  void SetUsableShare(double part) { this->ledger.usable_share = part; }
+  void SetUsableShare(double share) { this->tracker.usable_share = share; }
 
   /// Accepts a call; exactly one answer follows unless it is cancelled.
   /// `transit_delay`: time that the frame was delayed on the link, which is
   /// subtracted from the remaining time.
   void OnCall(LinkId link, const CallFrame& frame, Millis transit_delay);
-  /// Cancels a call. One that runs and must not run twice is left to finish,
-  /// without an answer.
+  /// Cancels a call. A running call that must not run twice is allowed to
+  /// finish, without an answer.
   void OnCancel(LinkId link, std::uint32_t id);
   /// Flow control: the receiver consumed `bytes` of the answer.
   void OnWindow(LinkId link, std::uint32_t id, std::uint32_t bytes);
@@ -103,11 +103,12 @@
   void OnLinkClosed(LinkId link);
 
   /// Applies reports of the target instance; see control/instance_tracker.h.
-  /// RestoreDraining() takes a leave that another node recorded.
+  /// RestoreDraining() applies a drain that another node recorded.
   control::ReportEffect OnReport(const control::InstanceReport& report);
-  control::ReportEffect OnLeave(const control::InstanceIncarnation& start);
+  control::ReportEffect OnLeave(
+      const control::InstanceIncarnation& incarnation);
   control::ReportEffect RestoreDraining(
-      const control::InstanceIncarnation& start);
+      const control::InstanceIncarnation& incarnation);
 
   /// The running request with that id, if there is one.
   std::optional<RunInfo> FindRun(const std::string& request_id) const;
@@ -132,7 +133,7 @@
   /// milliseconds.
   void Sweep(Millis now);
 
-  const control::InstanceTracker& Ledger() const { return this->ledger; }
+  const control::InstanceTracker& Ledger() const { return this->tracker; }
   /// Whether the target's process is known to have crashed and has not reported
   /// since.
   bool IsTargetGone() const { return this->is_target_gone; }
@@ -182,7 +183,7 @@
   Millis drain;
   ServedEvents events;
   TargetPool pool;
-  control::InstanceTracker ledger;
+  control::InstanceTracker tracker;
   control::DemandMeter meter;
   ServedCounters counters;
   control::ErrorRate errors;
--- a/libs/relay/src/entry_quarantine.cc
+++ b/libs/relay/src/entry_quarantine.cc
@@ -63,9 +63,9 @@
   const StateFrame& target = peer->reported;
   const Millis now = BootTimeNow();
   const control::RequestDigest digest = this->DigestOf(*call);
-  const control::TargetCrash end{StableHash(target.instance, target.started_at),
-                                 call->is_on_trial};
-  const bool is_new = this->quarantine.RecordTargetCrash(digest, end, now);
+  const control::TargetCrash crash{
+      StableHash(target.instance, target.started_at), call->is_on_trial};
+  const bool is_new = this->quarantine.RecordTargetCrash(digest, crash, now);
   const control::QuarantineRecord* record = this->quarantine.Find(digest);
   if (is_new && record != nullptr && WouldLog(kEventUnderWayAtEnd)) {
     LogEvent(kEventUnderWayAtEnd,
@@ -98,8 +98,8 @@
                                      std::uint32_t id) {
   const auto known =
       std::find_if(this->abandoned.begin(), this->abandoned.end(),
-                   [&peer, id](const AbandonedCall& left) {
-                     return left.peer == peer && left.call->id == id;
+                   [&peer, id](const AbandonedCall& entry) {
+                     return entry.peer == peer && entry.call->id == id;
                    });
   if (known != this->abandoned.end()) {
     this->RecordTargetCrash(known->call, peer);
--- a/libs/relay/src/frame_dispatch.cc
+++ b/libs/relay/src/frame_dispatch.cc
@@ -41,11 +41,11 @@
       return true;
     }
     case FrameType::kQuotaRequest: {
-      QuotaRequestFrame ask;
-      if (!Decode(frame.payload, ask)) {
+      QuotaRequestFrame request;
+      if (!Decode(frame.payload, request)) {
         return false;
       }
-      this->entry.Quotas().OnQuotaRequest(link, ask);
+      this->entry.Quotas().OnQuotaRequest(link, request);
       return true;
     }
     case FrameType::kQuarantine:
@@ -61,18 +61,18 @@
 /// Handles updates about requests that crashed targets, and trial requests.
 bool RelayNode::OnQuarantineFrame(const PeerLinkPointer& link,
                                   const RawFrame& frame) {
-  QuarantineExchange& blame = this->entry.Quarantine();
+  QuarantineExchange& quarantine = this->entry.Quarantine();
   QuarantineFrame update;
-  TrialRequestFrame ask;
-  TrialEndedFrame over;
+  TrialRequestFrame request;
+  TrialEndedFrame ended;
   if (frame.type == FrameType::kQuarantine && Decode(frame.payload, update)) {
-    blame.OnUpdates(update);
+    quarantine.OnUpdates(update);
   } else if (frame.type == FrameType::kTrialRequest &&
-             Decode(frame.payload, ask)) {
-    blame.OnTrialRequest(link, ask);
+             Decode(frame.payload, request)) {
+    quarantine.OnTrialRequest(link, request);
   } else if (frame.type == FrameType::kTrialEnded &&
-             Decode(frame.payload, over)) {
-    blame.OnTrialEnded(over);
+             Decode(frame.payload, ended)) {
+    quarantine.OnTrialEnded(ended);
   } else {
     return false;
   }
--- a/libs/relay/src/node_metrics.cc
+++ b/libs/relay/src/node_metrics.cc
@@ -27,17 +27,18 @@
                 static_cast<double>(served.Counters().target_crashes));
 }
 
-void WriteRepeats(const std::map<std::string, control::RepeatCapacity>& rooms,
-                  const std::map<std::string, std::uint64_t>& denied,
-                  MetricText& out) {
+void WriteRepeats(
+    const std::map<std::string, control::RepeatCapacity>& capacities,
+    const std::map<std::string, std::uint64_t>& denied,
+    MetricText& out) {
   out.Begin("repeats_left", "gauge", "Repeats that this node may still make.");
-  for (const auto& [service, room] : rooms) {
-    out.Add(MetricLabel("service", service), room.bound - room.repeats);
+  for (const auto& [service, capacity] : capacities) {
+    out.Add(MetricLabel("service", service), capacity.bound - capacity.repeats);
   }
   out.Begin("repeats_allowed", "gauge",
             "Repeats that this node may make within the window.");
-  for (const auto& [service, room] : rooms) {
-    out.Add(MetricLabel("service", service), room.bound);
+  for (const auto& [service, capacity] : capacities) {
+    out.Add(MetricLabel("service", service), capacity.bound);
   }
   out.Begin("repeats_denied_total", "counter",
             "Repeats denied because the limit was reached.");
--- a/libs/relay/src/peer_policy.cc
+++ b/libs/relay/src/peer_policy.cc
@@ -203,17 +203,17 @@
 void PeerTable::AnnouncePolicyVersion() {
   std::string frame;
   AppendPolicyVersion(this->self->reported.policy_version, frame);
-  std::string whole;
+  std::string full_state;
   for (auto& [id, entry] : this->accepted) {
     const bool is_only_version_new =
         entry.announced_revision + 1 == this->state_revision;
     if (is_only_version_new && entry.protocol_version >= kVersionPolicyPull) {
       entry.link->OutputBuffer() += frame;
     } else {
-      if (whole.empty()) {
-        Append(this->self->reported, whole);
+      if (full_state.empty()) {
+        Append(this->self->reported, full_state);
       }
-      entry.link->OutputBuffer() += whole;
+      entry.link->OutputBuffer() += full_state;
     }
     entry.announced_revision = this->state_revision;
     entry.link->ScheduleFlush();
--- a/libs/relay/src/peer_state.cc
+++ b/libs/relay/src/peer_state.cc
@@ -351,17 +351,18 @@
   this->self->reported_at = BootTimeNow();
   this->self->sent_since_report = 0;
   this->last_announced = this->self->reported_at;
-  std::string whole;
+  std::string full_state;
   std::string load;
   for (auto& [id, entry] : this->accepted) {
     const bool is_up_to_date = entry.announced_revision == this->state_revision;
     std::string& frame =
-        is_up_to_date && entry.protocol_version >= kVersionLoadFrames ? load
-                                                                      : whole;
+        is_up_to_date && entry.protocol_version >= kVersionLoadFrames
+            ? load
+            : full_state;
     if (frame.empty() && &frame == &load) {
       Append(this->MakeLoadFrame(state), load);
     } else if (frame.empty()) {
-      Append(state, whole);
+      Append(state, full_state);
     }
     entry.announced_revision = this->state_revision;
     entry.link->OutputBuffer() += frame;
--- a/libs/relay/src/quarantine_exchange.cc
+++ b/libs/relay/src/quarantine_exchange.cc
@@ -83,14 +83,14 @@
 }
 
 bool QuarantineExchange::RecordTargetCrash(const control::RequestDigest& digest,
-                                           const control::TargetCrash& end,
+                                           const control::TargetCrash& crash,
                                            Millis now) {
-  if (!control::RecordTargetCrash(Rules(), now, digest, end, this->table)) {
+  if (!control::RecordTargetCrash(Rules(), now, digest, crash, this->table)) {
     return false;
   }
   const control::QuarantineRecord& record = this->table.records[digest];
   this->Broadcast({{MakeUpdate(digest, record, now)}});
-  if (end.is_on_trial && this->on_confirmed) {
+  if (crash.is_on_trial && this->on_confirmed) {
     this->on_confirmed(digest, record);
   }
   return true;
@@ -204,7 +204,7 @@
 /// trial must wait.
 std::string QuarantineExchange::GrantTrial(const control::RequestDigest& digest,
                                            const std::string& service,
-                                           Millis left,
+                                           Millis remaining,
                                            Millis now) {
   if (this->Decide(digest, now).action == control::QuarantineAction::kRefuse) {
     return {};
@@ -221,13 +221,14 @@
     }
   }
   return control::PermitTrial(now, digest, service, places,
-                              now + left + kTrialTimeoutMargin, this->trials)
+                              now + remaining + kTrialTimeoutMargin,
+                              this->trials)
       .value_or(std::string());
 }
 
 void QuarantineExchange::RequestTrial(const control::RequestDigest& digest,
                                       const std::string& service,
-                                      Millis left,
+                                      Millis remaining,
                                       Millis now) {
   const auto [last, is_first] = this->last_requested.emplace(digest, now);
   if (!is_first && now - last->second < kRequestInterval) {
@@ -236,26 +237,26 @@
   last->second = now;
   const PeerPointer coordinator = this->TrialCoordinator(service);
   if (coordinator->is_self) {
-    const std::string node = this->GrantTrial(digest, service, left, now);
+    const std::string node = this->GrantTrial(digest, service, remaining, now);
     if (!node.empty()) {
       this->on_permit(digest, node);
     }
     return;
   }
-  TrialRequestFrame ask;
-  ask.digest = digest;
-  ask.service = service;
-  ask.remaining_ms = static_cast<std::uint32_t>(left.count);
-  Append(ask, coordinator->link->OutputBuffer());
+  TrialRequestFrame request;
+  request.digest = digest;
+  request.service = service;
+  request.remaining_ms = static_cast<std::uint32_t>(remaining.count);
+  Append(request, coordinator->link->OutputBuffer());
   coordinator->link->ScheduleFlush();
 }
 
 void QuarantineExchange::OnTrialRequest(const PeerLinkPointer& link,
-                                        const TrialRequestFrame& ask) {
+                                        const TrialRequestFrame& request) {
   TrialResponseFrame answer;
-  answer.digest = ask.digest;
-  answer.node = this->GrantTrial(ask.digest, ask.service,
-                                 Millis{ask.remaining_ms}, BootTimeNow());
+  answer.digest = request.digest;
+  answer.node = this->GrantTrial(request.digest, request.service,
+                                 Millis{request.remaining_ms}, BootTimeNow());
   Append(answer, link->OutputBuffer());
   link->ScheduleFlush();
 }
@@ -276,8 +277,8 @@
   }
 }
 
-void QuarantineExchange::OnTrialEnded(const TrialEndedFrame& over) {
-  control::EndTrial(over.digest, this->trials);
+void QuarantineExchange::OnTrialEnded(const TrialEndedFrame& ended) {
+  control::EndTrial(ended.digest, this->trials);
 }
 
 void QuarantineExchange::Tick(Millis now) {
--- a/libs/relay/src/quota_exchange.cc
+++ b/libs/relay/src/quota_exchange.cc
@@ -91,8 +91,8 @@
   if (account.limit.per_s <= 0) {
     return control::QuotaDecision::kTaken;
   }
-  control::QuotaBorrower& purse = this->purses[account.key.Value()];
-  const control::QuotaDecision answer = control::TakeQuota(now, purse);
+  control::QuotaBorrower& borrower = this->borrowers[account.key.Value()];
+  const control::QuotaDecision answer = control::TakeQuota(now, borrower);
   if (answer == control::QuotaDecision::kTaken) {
     // Refills the stock before it is used up.
     this->RequestTokens(account, 0, now);
@@ -102,22 +102,23 @@
 
 bool QuotaExchange::TakeTokenForQueued(const policy::ClientAccount& account,
                                        Millis now) {
-  control::QuotaBorrower& purse = this->purses[account.key.Value()];
-  return control::TakeBorrowed(now, purse) || control::TakeFallback(now, purse);
+  control::QuotaBorrower& borrower = this->borrowers[account.key.Value()];
+  return control::TakeBorrowed(now, borrower) ||
+         control::TakeFallback(now, borrower);
 }
 
 void QuotaExchange::ReturnToken(const policy::ClientAccount& account,
                                 Millis now) {
   if (account.limit.per_s > 0) {
-    control::GiveBack(now, this->purses[account.key.Value()]);
+    control::GiveBack(now, this->borrowers[account.key.Value()]);
   }
 }
 
 void QuotaExchange::RequestTokens(const policy::ClientAccount& account,
                                   std::uint32_t waiting,
                                   Millis now) {
-  control::QuotaBorrower& purse = this->purses[account.key.Value()];
-  const std::uint32_t wanted = control::TokensToRequest(now, waiting, purse);
+  control::QuotaBorrower& borrower = this->borrowers[account.key.Value()];
+  const std::uint32_t wanted = control::TokensToRequest(now, waiting, borrower);
   if (wanted == 0) {
     return;
   }
@@ -134,34 +135,35 @@
 
 bool QuotaExchange::IsExhausted(const policy::ClientAccount& account,
                                 Millis now) const {
-  const auto purse = this->purses.find(account.key.Value());
-  return purse != this->purses.end() && now < purse->second.exhausted_until &&
-         !control::IsShortWait(purse->second.wait);
+  const auto borrower = this->borrowers.find(account.key.Value());
+  return borrower != this->borrowers.end() &&
+         now < borrower->second.exhausted_until &&
+         !control::IsShortWait(borrower->second.wait);
 }
 
 bool QuotaExchange::IsLenderSilent(const policy::ClientAccount& account,
                                    Millis now) const {
-  const auto purse = this->purses.find(account.key.Value());
-  return purse == this->purses.end() ||
-         control::IsLenderSilent(now, purse->second);
+  const auto borrower = this->borrowers.find(account.key.Value());
+  return borrower == this->borrowers.end() ||
+         control::IsLenderSilent(now, borrower->second);
 }
 
 Millis QuotaExchange::TimeUntilToken(
     const policy::ClientAccount& account) const {
-  const auto purse = this->purses.find(account.key.Value());
-  return purse == this->purses.end() ? Millis{0} : purse->second.wait;
+  const auto borrower = this->borrowers.find(account.key.Value());
+  return borrower == this->borrowers.end() ? Millis{0} : borrower->second.wait;
 }
 
 double QuotaExchange::DemandPerSecond(
     const policy::ClientAccount& account) const {
-  const auto purse = this->purses.find(account.key.Value());
-  return purse == this->purses.end() ? 0 : purse->second.demand.per_s;
+  const auto borrower = this->borrowers.find(account.key.Value());
+  return borrower == this->borrowers.end() ? 0 : borrower->second.demand.per_s;
 }
 
 double QuotaExchange::LentPerSecond(
     const policy::ClientAccount& account) const {
-  const auto purse = this->purses.find(account.key.Value());
-  return purse == this->purses.end() ? 0 : purse->second.lent.per_s;
+  const auto borrower = this->borrowers.find(account.key.Value());
+  return borrower == this->borrowers.end() ? 0 : borrower->second.lent.per_s;
 }
 
 QuotaLoanFrame QuotaExchange::LendTo(policy::AccountKey account,
@@ -205,20 +207,20 @@
 }
 
 void QuotaExchange::OnQuotaRequest(const PeerLinkPointer& link,
-                                   const QuotaRequestFrame& ask) {
-  const QuotaLoanFrame answer =
-      this->LendTo(policy::AccountKey(ask.account), ask.wanted, BootTimeNow());
+                                   const QuotaRequestFrame& request) {
+  const QuotaLoanFrame answer = this->LendTo(
+      policy::AccountKey(request.account), request.wanted, BootTimeNow());
   Append(answer, link->OutputBuffer());
   link->ScheduleFlush();
 }
 
 void QuotaExchange::OnLoan(const QuotaLoanFrame& frame) {
-  const auto purse = this->purses.find(frame.account);
+  const auto borrower = this->borrowers.find(frame.account);
   // If that node is not the lender, the request counts as unanswered.
-  if (purse == this->purses.end() || !frame.is_lender) {
+  if (borrower == this->borrowers.end() || !frame.is_lender) {
     return;
   }
-  control::ApplyLoan(BootTimeNow(), frame.loan, purse->second);
+  control::ApplyLoan(BootTimeNow(), frame.loan, borrower->second);
   this->on_tokens(policy::AccountKey(frame.account));
 }
 
@@ -248,9 +250,9 @@
     const bool is_kept = this->Lender(account)->is_self;
     entry = is_kept ? std::next(entry) : this->buckets.erase(entry);
   }
-  for (auto entry = this->purses.begin(); entry != this->purses.end();) {
+  for (auto entry = this->borrowers.begin(); entry != this->borrowers.end();) {
     const bool is_idle = control::IsIdle(now, entry->second);
-    entry = is_idle ? this->purses.erase(entry) : std::next(entry);
+    entry = is_idle ? this->borrowers.erase(entry) : std::next(entry);
   }
 }
 
--- a/libs/relay/src/relay_node.cc
+++ b/libs/relay/src/relay_node.cc
@@ -18,7 +18,7 @@
 /// caller connections.
 constexpr std::uint32_t kPeerTicks = 2;
 constexpr std::uint32_t kIdleTicks = 10;
-/// Maximum wait for another node to confirm that it has recorded a leave.
+/// Maximum wait for another node to confirm that it has recorded a drain.
 constexpr Millis kConfirmWait{300};
 /// Callers keep connecting after the stop signal until two of their health
 /// checks, one a second, have failed. The target keeps serving for most of that
@@ -179,16 +179,16 @@
 
 StateFrame RelayNode::MakeState() {
   StateFrame state;
-  const control::InstanceTracker& ledger = this->served.Ledger();
+  const control::InstanceTracker& tracker = this->served.Ledger();
   state.policy_version = this->PolicyVersion();
   state.is_stopping = this->is_stop_announced;
   state.zone = this->settings.zone.Value();
-  state.service = ledger.current.service;
-  state.instance = ledger.current.incarnation.id;
-  state.started_at = ledger.current.incarnation.started_at;
-  state.sequence = ledger.current.sequence;
+  state.service = tracker.current.service;
+  state.instance = tracker.current.incarnation.id;
+  state.started_at = tracker.current.incarnation.started_at;
+  state.sequence = tracker.current.sequence;
   switch (this->served.IsTargetGone() ? control::InstancePhase::kNone
-                                      : ledger.phase) {
+                                      : tracker.phase) {
     case control::InstancePhase::kNone:
       state.state = InstanceState::kNone;
       break;
@@ -199,7 +199,7 @@
       state.state = InstanceState::kDraining;
       break;
   }
-  state.slots = control::UsableSlots(ledger);
+  state.slots = control::UsableSlots(tracker);
   state.running = this->served.Running();
   state.waiting = this->served.Waiting();
   state.work_ms = control::MeanWorkMs(this->served.Meter());
@@ -247,16 +247,16 @@
 }
 
 void RelayNode::LogInstance() const {
-  const control::InstanceTracker& ledger = this->served.Ledger();
+  const control::InstanceTracker& tracker = this->served.Ledger();
   LogEvent(
       kEventInstance,
-      {{"instance", ledger.current.incarnation.id},
-       {"born", std::to_string(ledger.current.incarnation.started_at)},
-       {"service", ledger.current.service},
+      {{"instance", tracker.current.incarnation.id},
+       {"born", std::to_string(tracker.current.incarnation.started_at)},
+       {"service", tracker.current.service},
        {"state",
-        ledger.phase == control::InstancePhase::kReady ? "ready" : "leaving"},
-       {"capacity", std::to_string(ledger.current.capacity)},
-       {"sequence", std::to_string(ledger.current.sequence)}});
+        tracker.phase == control::InstancePhase::kReady ? "ready" : "leaving"},
+       {"capacity", std::to_string(tracker.current.capacity)},
+       {"sequence", std::to_string(tracker.current.sequence)}});
 }
 
 Result<void> RelayNode::OnReport(const control::InstanceReport& report,
@@ -360,8 +360,9 @@
   this->entry.Sweep(now);
   this->served.Sweep(now);
   this->RunPendingAcks(now, std::nullopt);
-  const double erring = this->peers.SelfPeer()->reported.error_rate;
-  if (std::abs(this->served.ErrorRate() - erring) > kMinReportedErrorChange) {
+  const double reported_rate = this->peers.SelfPeer()->reported.error_rate;
+  if (std::abs(this->served.ErrorRate() - reported_rate) >
+      kMinReportedErrorChange) {
     this->peers.AnnounceState();
   }
   if (this->ticks % kPeerTicks == 0) {
@@ -382,9 +383,9 @@
 
 void RelayNode::AddSlotTime() {
   constexpr double kSeconds = 0.001 * kTickInterval.count() * kPeerTicks;
-  const control::InstanceTracker& ledger = this->served.Ledger();
-  if (this->entry.IsBottleneck(ledger.current.service)) {
-    this->short_available_s += kSeconds * control::UsableSlots(ledger);
+  const control::InstanceTracker& tracker = this->served.Ledger();
+  if (this->entry.IsBottleneck(tracker.current.service)) {
+    this->short_available_s += kSeconds * control::UsableSlots(tracker);
     this->short_used_s += kSeconds * this->served.Running();
   }
 }
--- a/libs/relay/src/served_calls.cc
+++ b/libs/relay/src/served_calls.cc
@@ -57,17 +57,17 @@
 bool ServedCalls::IsPastDrain(Millis now) const {
   const Millis allowed{static_cast<std::int64_t>(
       static_cast<double>(this->drain.count) * kDrainShare)};
-  return this->ledger.phase == control::InstancePhase::kLeaving &&
-         now - this->ledger.leaving_since > allowed;
+  return this->tracker.phase == control::InstancePhase::kLeaving &&
+         now - this->tracker.leaving_since > allowed;
 }
 
 CallReason ServedCalls::ReasonToReject(Millis now,
                                        const CallFrame& frame) const {
-  if (this->ledger.phase == control::InstancePhase::kNone ||
+  if (this->tracker.phase == control::InstancePhase::kNone ||
       this->is_target_gone) {
     return CallReason::kNoInstance;
   }
-  if (frame.instance != this->ledger.current.incarnation.id) {
+  if (frame.instance != this->tracker.current.incarnation.id) {
     return CallReason::kOtherInstance;
   }
   if (this->IsPastDrain(now)) {
@@ -117,7 +117,7 @@
   this->queue.emplace(call->order, call);
   this->FillSlots(now);
   const std::uint32_t max_queue = std::max(
-      kMinQueueLimit, kQueuePerSlot * control::UsableSlots(this->ledger));
+      kMinQueueLimit, kQueuePerSlot * control::UsableSlots(this->tracker));
   if (this->queue.size() > max_queue) {
     const CallPointer last = std::prev(this->queue.end())->second;
     this->Reject(last, CallReason::kFull);
@@ -125,7 +125,7 @@
 }
 
 void ServedCalls::FillSlots(Millis now) {
-  const std::uint32_t slots = control::UsableSlots(this->ledger);
+  const std::uint32_t slots = control::UsableSlots(this->tracker);
   while (!this->queue.empty() && this->running < slots) {
     const CallPointer call = this->queue.begin()->second;
     if (this->IsPastDrain(now)) {
@@ -200,7 +200,7 @@
     bytes.append(name).append(": ").append(value).append("\r\n");
   };
   put(this->names.time_left, std::to_string(left.count));
-  put(this->names.target_instance, this->ledger.current.incarnation.id);
+  put(this->names.target_instance, this->tracker.current.incarnation.id);
   put(this->names.caller_service, call.caller_service);
   const bool has_body =
       !call.body.empty() || (call.method != "GET" && call.method != "HEAD");
@@ -240,7 +240,7 @@
       this->RecordWorkTime(*call, work);
     }
     answer.run_counts = call->run_counts;
-    control::AddRuns({ServiceKeyOf(this->ledger.current.service), 1},
+    control::AddRuns({ServiceKeyOf(this->tracker.current.service), 1},
                      answer.run_counts);
   }
   call->is_answering = has_more;
@@ -364,11 +364,11 @@
 
 control::ReportEffect ServedCalls::OnReport(
     const control::InstanceReport& report) {
-  const control::InstanceIncarnation before = this->ledger.current.incarnation;
+  const control::InstanceIncarnation before = this->tracker.current.incarnation;
   const control::ReportEffect effect =
-      control::ApplyReport(BootTimeNow(), report, this->ledger);
+      control::ApplyReport(BootTimeNow(), report, this->tracker);
   const control::InstanceIncarnation& current =
-      this->ledger.current.incarnation;
+      this->tracker.current.incarnation;
   const bool is_back = this->is_target_gone &&
                        effect != control::ReportEffect::kIgnored &&
                        effect != control::ReportEffect::kRefused;
@@ -387,13 +387,13 @@
 }
 
 control::ReportEffect ServedCalls::OnLeave(
-    const control::InstanceIncarnation& start) {
-  return control::ApplyLeave(BootTimeNow(), start, this->ledger);
+    const control::InstanceIncarnation& incarnation) {
+  return control::ApplyLeave(BootTimeNow(), incarnation, this->tracker);
 }
 
 control::ReportEffect ServedCalls::RestoreDraining(
-    const control::InstanceIncarnation& start) {
-  return control::RestoreDeparted(BootTimeNow(), start, this->ledger);
+    const control::InstanceIncarnation& incarnation) {
+  return control::RestoreDeparted(BootTimeNow(), incarnation, this->tracker);
 }
 
 /// Records the duration of a call, unless the host was suspended while it ran.
--- a/libs/relay/src/served_crashes.cc
+++ b/libs/relay/src/served_crashes.cc
@@ -45,7 +45,7 @@
                          run.second) == this->awaiting_crash_check.end();
       });
   return is_connect_refused && alive == 0 && !this->pool.HasOpenIdle() &&
-         this->ledger.phase == control::InstancePhase::kReady;
+         this->tracker.phase == control::InstancePhase::kReady;
 }
 
 void ServedCalls::FinishCrashCheck(bool is_connect_refused) {
@@ -57,11 +57,11 @@
     // Reported first, so that other nodes stop sending calls here.
     this->is_target_gone = true;
     ++this->counters.target_crashes;
-    this->events.on_target_crashed(this->ledger.current.incarnation,
+    this->events.on_target_crashed(this->tracker.current.incarnation,
                                    broken.size());
   }
   for (const CallPointer& call : broken) {
-    // It may have been cancelled or timed out meanwhile.
+    // The call may have been cancelled or timed out meanwhile.
     if (!call->is_running) {
       continue;
     }
@@ -82,13 +82,13 @@
 
 /// Ends an answer of which the caller has received a part.
 void ServedCalls::EndPartialAnswer(const CallPointer& call, bool is_crash) {
-  DataFrame end;
-  end.id = call->id;
-  end.is_last = true;
-  end.is_broken = true;
-  end.is_target_crashed = is_crash;
+  DataFrame last_part;
+  last_part.id = call->id;
+  last_part.is_last = true;
+  last_part.is_broken = true;
+  last_part.is_target_crashed = is_crash;
   if (!call->is_abandoned || is_crash) {
-    this->events.on_part(call->link, end);
+    this->events.on_part(call->link, last_part);
   }
 }
 
--- a/libs/relay/tests/bearer_key_test.cc
+++ b/libs/relay/tests/bearer_key_test.cc
@@ -21,7 +21,7 @@
   return ReadBearerKey(HeadOf(fields));
 }
 
-TEST_CASE("the scheme is read in any case, with any spaces") {
+TEST_CASE("the scheme is case-insensitive and may be surrounded by spaces") {
   for (const char* value : {"Bearer k-1", "bearer k-1", "BEARER   k-1",
                             "  Bearer \t k-1  ", "bEaReR k-1"}) {
     const BearerKey key =
@@ -32,7 +32,8 @@
   }
 }
 
-TEST_CASE("none, another scheme and malformed ones are told apart") {
+TEST_CASE(
+    "a missing key or another scheme is distinguished from a malformed key") {
   REQUIRE(KeyOf("").status == BearerKeyStatus::kAbsent);
   REQUIRE(KeyOf("Authorization: Basic abc\r\n").status ==
           BearerKeyStatus::kAbsent);
@@ -52,7 +53,7 @@
       BearerKeyStatus::kMalformed);
 }
 
-TEST_CASE("what names a caller is kept apart from what is passed on") {
+TEST_CASE("identity fields are kept separate from forwarded fields") {
   const RequestHead head = HeadOf(
       "Authorization: Bearer k\r\nX-Account: forged\r\nX-Other: 1\r\n"
       "x-account: again\r\n");
--- a/libs/relay/tests/content_digest_test.cc
+++ b/libs/relay/tests/content_digest_test.cc
@@ -26,7 +26,7 @@
   REQUIRE(DigestOf(Content()).path == PathHashOf(Content().target));
 }
 
-TEST_CASE("any other content has another one") {
+TEST_CASE("different content has a different digest") {
   std::vector<RequestContent> others(7, Content());
   others[0].deployment = "town";
   others[1].host = "pay.example";
--- a/libs/relay/tests/http_parser_test.cc
+++ b/libs/relay/tests/http_parser_test.cc
@@ -8,7 +8,8 @@
 const HeaderNames kNames = {"X-Id",   "X-Left", "X-Caller",  "X-Target",
                             "X-Seal", "X-Not",  "X-Instance"};
 
-TEST_CASE("what concerns one connection, or speaks for us, is not passed on") {
+TEST_CASE(
+    "hop-by-hop fields and fields reserved for the node are not forwarded") {
   RequestParser parser(kNames);
   std::string input =
       "POST /a/b?c=d HTTP/1.1\r\nHost: h\r\nX-Id: 7\r\nX-Left: 500\r\n"
@@ -26,7 +27,7 @@
   REQUIRE(parser.head.fields == "Host: h\r\nX-Id: 7\r\nX-Kept: yes\r\n");
 }
 
-TEST_CASE("a message is whole however its bytes are cut") {
+TEST_CASE("a message is complete however its bytes are split") {
   const std::string all =
       "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
       "5\r\nhello\r\n6;x=y\r\n world\r\n0\r\n\r\n";
@@ -40,7 +41,7 @@
   }
 }
 
-TEST_CASE("a length that can be read in two ways is refused") {
+TEST_CASE("an ambiguous length is rejected") {
   // Such ambiguity allows request smuggling.
   for (const char* fields :
        {"Content-Length: 5\r\nContent-Length: 6\r\n",
@@ -53,7 +54,7 @@
   }
 }
 
-TEST_CASE("an answer without a length is whole only at a proper end") {
+TEST_CASE("an answer without a length is complete only at a regular close") {
   AnswerParser parser(kNames);
   std::string input =
       "HTTP/1.1 200 OK\r\nX-Id: 7\r\nX-Seal: s\r\nConnection: "
@@ -65,22 +66,22 @@
   REQUIRE(parser.body == "part");
 }
 
-TEST_CASE("an answer that ends before its length is not whole") {
+TEST_CASE("an answer that ends before its length is incomplete") {
   AnswerParser parser(kNames);
   std::string input = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart";
   REQUIRE(parser.Feed(input) == ParseStatus::kNeedMore);
   REQUIRE_FALSE(parser.FinishAtEof());
 }
 
-TEST_CASE("a malformed trailer is refused, however its bytes come") {
+TEST_CASE("a malformed trailer is rejected however its bytes are split") {
   // Guards against an assertion in Beast that aborted the process on this input
   // in builds with assertions.
   const std::string text =
       "HTTP/1.1 200 OK\r\nX-Id: 7\r\nTransfer-Encoding: chunked\r\n\r\n"
       "0\r\nabc\r\n\r\r\n\r\n";
-  AnswerParser whole(kNames);
+  AnswerParser unsplit(kNames);
   std::string input = text;
-  REQUIRE(whole.Feed(input) == ParseStatus::kMalformed);
+  REQUIRE(unsplit.Feed(input) == ParseStatus::kMalformed);
   AnswerParser pieces(kNames);
   ParseStatus step = ParseStatus::kNeedMore;
   std::string fed;
@@ -92,7 +93,7 @@
   REQUIRE(step == ParseStatus::kMalformed);
 }
 
-TEST_CASE("the marks of an answer are taken out") {
+TEST_CASE("control fields of an answer are parsed and removed") {
   AnswerParser parser(kNames);
   std::string input =
       "HTTP/1.1 503 Service Unavailable\r\nX-Not: 1\r\nX-Instance: i-2\r\n"
--- a/libs/relay/tests/peer_frames_test.cc
+++ b/libs/relay/tests/peer_frames_test.cc
@@ -84,9 +84,9 @@
   state.roots = {{5, 60.01, 40, {}}, {6, 0, 1, {}}};
   std::string bytes;
   Append(LoadOf(state), bytes);
-  std::string whole;
-  Append(state, whole);
-  REQUIRE(bytes.size() * 2 < whole.size());
+  std::string full_state;
+  Append(state, full_state);
+  REQUIRE(bytes.size() * 2 < full_state.size());
   LoadFrame read;
   REQUIRE(Decode(Only(bytes).payload, read));
   StateFrame other = state;
@@ -97,7 +97,7 @@
   ApplyLoad(read, other);
   std::string again;
   Append(other, again);
-  REQUIRE(again == whole);
+  REQUIRE(again == full_state);
   other.slots = 42;
   REQUIRE_FALSE(EqualExceptLoad(state, other));
   const std::string_view payload = Only(bytes).payload;
@@ -219,16 +219,16 @@
   load.roots[0].admitted_per_s = 10;
   bytes.clear();
   Append(load, bytes);
-  LoadFrame told;
-  REQUIRE(Decode(Only(bytes).payload, told));
-  ApplyLoad(told, read);
+  LoadFrame received;
+  REQUIRE(Decode(Only(bytes).payload, received));
+  ApplyLoad(received, read);
   REQUIRE(read.roots[0].admitted_per_s == Approx(10));
   REQUIRE(read.roots[0].calls.size() == 2);
   state.roots[0].calls = {{77, 4}};
   bytes.clear();
   Append(LoadOf(state), bytes);
-  REQUIRE(Decode(Only(bytes).payload, told));
-  ApplyLoad(told, read);
+  REQUIRE(Decode(Only(bytes).payload, received));
+  ApplyLoad(received, read);
   REQUIRE(read.roots[0].calls.size() == 1);
   REQUIRE(read.roots[0].calls[0].per_root == Approx(4));
 }
